--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings, strategies as st
 
 from ..core.traffic import Target, TargetState
-from .news import Counts, Evidence, FarNews, OutcomeNote, PeerNews, Sign, tag_of
+from .news import Counts, Evidence, OutcomeNote, PeerNews, RemoteUpdate, Sign, tag_of
 from .registry import Registry
 from .zone import Zone
 
@@ -50,7 +50,7 @@
     zone.forget_targets({present.life}, 10.0)
     before = zone.fails(present.life, 2.0)
     zone.take(_news(1, {former.life: 1}, [(0, former.life, Sign.FAILED)]), 2.0)
-    zone.take_far(FarNews("far", 7, (Evidence(0, former.life, 35.0),), ()), 2.0)
+    zone.take_far(RemoteUpdate("far", 7, (Evidence(0, former.life, 35.0),), ()), 2.0)
     assert zone.fails(present.life, 2.0) == before
     assert zone.in_flight(present.life) == 0
     zone.forget_targets({present.life}, 10.0)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/news.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/news.py
@@ -98,7 +98,7 @@
     counts: dict[ServiceName, Counts]
 
 
-class FarNews(NamedTuple):
+class RemoteUpdate(NamedTuple):
     """
     A message to other data centres: evidence, and targets that got work lately.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -264,7 +264,7 @@
 
     def take_far(self, news, now):
         """
-        Take the `FarNews` of a host in another data centre.
+        Take the `RemoteUpdate` of a host in another data centre.
 
         It arrives from a host there or by way of one here, and may do so twice.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
@@ -12,10 +12,10 @@
     Counts,
     Evidence,
     FarLoad,
-    FarNews,
     FarSums,
     OutcomeNote,
     PeerNews,
+    RemoteUpdate,
     Sign,
 )
 
@@ -186,9 +186,9 @@
 
 
 def far_news_of(far):
-    """Return the `FarNews` of a `Far`."""
+    """Return the `RemoteUpdate` of a `Far`."""
     evidence = tuple(Evidence(*fields) for fields in far.evidence)
-    return FarNews(far.host, far.life, evidence, tuple(far.used))
+    return RemoteUpdate(far.host, far.life, evidence, tuple(far.used))
 
 
 def far_load_of(load):
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -31,7 +31,7 @@
 from plumsaddle_core.core.traffic import Kind, Target, TargetState
 from plumsaddle_core.ops.choice import Candidate, Demand, choose_target
 from plumsaddle_core.ops.floor import Trials
-from plumsaddle_core.ops.news import FarLoad, FarNews, Sign
+from plumsaddle_core.ops.news import FarLoad, RemoteUpdate, Sign
 from plumsaddle_core.ops.zone import Zone
 
 SERVICE = ServiceName("orders")
@@ -223,7 +223,7 @@
         evidence = self.zones[centre].evidence.take()
         for other, zone in enumerate(self.zones):
             if other != centre and (evidence or used):
-                zone.take_far(FarNews(str(centre), 1, evidence, used), at)
+                zone.take_far(RemoteUpdate(str(centre), 1, evidence, used), at)
 
     def _tell_load(self, at, centre):
         """Tell the other data centres what is in flight."""
