--- a/packages/plumsaddle-core/plumsaddle_core/ops/elsewhere.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/elsewhere.py
@@ -16,7 +16,7 @@
 
 
 class Elsewhere:
-    """The last `FarLoad` of each other data centre, or the last sum over them."""
+    """The last `RemoteLoad` of each other data centre, or the last sum over them."""
 
     def __init__(self):
         self._loads = {}
@@ -28,7 +28,7 @@
         Take a data centre's sums; an older message of the same host is ignored.
 
         Args:
-          load: The `FarLoad`.
+          load: The `RemoteLoad`.
           now: The present, in seconds.
         """
         known, _ = self._loads.get(load.centre, (None, 0.0))
--- a/packages/plumsaddle-core/plumsaddle_core/ops/news.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/news.py
@@ -111,7 +111,7 @@
     used: tuple[int, ...]
 
 
-class FarLoad(NamedTuple):
+class RemoteLoad(NamedTuple):
     """
     A message to other data centres: all work in flight from the hosts of one.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -365,7 +365,7 @@
         return here + self._elsewhere.in_flight(tag)
 
     def take_far_load(self, load, now):
-        """Take another data centre's `FarLoad`; an older one of a host is ignored."""
+        """Take another data centre's `RemoteLoad`; an older one of a host is ignored."""
         self._elsewhere.take(load, now)
 
     def far_sums(self, now):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
@@ -11,10 +11,10 @@
 from plumsaddle_core.ops.news import (
     Counts,
     Evidence,
-    FarLoad,
     FarSums,
     OutcomeNote,
     PeerNews,
+    RemoteLoad,
     RemoteUpdate,
     Sign,
 )
@@ -192,8 +192,8 @@
 
 
 def far_load_of(load):
-    """Return the `FarLoad` of a `Load`."""
-    return FarLoad(load.centre, load.host, load.life, load.number, load.counts)
+    """Return the `RemoteLoad` of a `Load`."""
+    return RemoteLoad(load.centre, load.host, load.life, load.number, load.counts)
 
 
 def far_sums_of(bundle):
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -31,7 +31,7 @@
 from plumsaddle_core.core.traffic import Kind, Target, TargetState
 from plumsaddle_core.ops.choice import Candidate, Demand, choose_target
 from plumsaddle_core.ops.floor import Trials
-from plumsaddle_core.ops.news import FarLoad, RemoteUpdate, Sign
+from plumsaddle_core.ops.news import RemoteLoad, RemoteUpdate, Sign
 from plumsaddle_core.ops.zone import Zone
 
 SERVICE = ServiceName("orders")
@@ -230,7 +230,7 @@
         self._push(at + LOAD_EVERY, self._tell_load, centre)
         self._load_number += 1
         counts = self.zones[centre].load()
-        load = FarLoad(str(centre), "host", 1, self._load_number, counts)
+        load = RemoteLoad(str(centre), "host", 1, self._load_number, counts)
         self._push(at + FAR_SECONDS, self._take_load, centre, load)
 
     def _take_load(self, at, centre, load):
