--- a/packages/plumsaddle-core/plumsaddle_core/ops/elsewhere.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/elsewhere.py
@@ -8,7 +8,7 @@
 
 from collections import Counter
 
-from .news import FarSums
+from .news import RemoteLoadTotal
 
 # Work in flight elsewhere is told ten times a second; after this many seconds without
 # it a data centre is cut off, and what it had in flight has mostly ended.
@@ -20,7 +20,7 @@
 
     def __init__(self):
         self._loads = {}
-        self._sums = FarSums((), {})
+        self._sums = RemoteLoadTotal((), {})
         self._sums_at = 0.0
 
     def take(self, load, now):
@@ -45,14 +45,14 @@
         loads = [load for load, at in self._loads.values() if now - at < LOAD_FOR]
         for load in loads:
             total.update(load.counts)
-        return FarSums(tuple(load.centre for load in loads), dict(total))
+        return RemoteLoadTotal(tuple(load.centre for load in loads), dict(total))
 
     def sums(self, now):
-        """Return the `FarSums` that were taken or made last, if they are fresh."""
-        return self._sums if now - self._sums_at < LOAD_FOR else FarSums((), {})
+        """Return the `RemoteLoadTotal` that were taken or made last, if they are fresh."""
+        return self._sums if now - self._sums_at < LOAD_FOR else RemoteLoadTotal((), {})
 
     def take_sums(self, sums, now):
-        """Take `FarSums`; they replace the former ones."""
+        """Take `RemoteLoadTotal`; they replace the former ones."""
         self._sums = sums
         self._sums_at = now
 
@@ -69,4 +69,4 @@
         heard = self._loads.items()
         self._loads = {c: entry for c, entry in heard if now - entry[1] < LOAD_FOR}
         if now - self._sums_at >= LOAD_FOR:
-            self._sums = FarSums((), {})
+            self._sums = RemoteLoadTotal((), {})
--- a/packages/plumsaddle-core/plumsaddle_core/ops/news.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/news.py
@@ -125,7 +125,7 @@
     counts: dict[int, int]
 
 
-class FarSums(NamedTuple):
+class RemoteLoadTotal(NamedTuple):
     """Work in flight from several data centres together, by tag of target."""
 
     centres: tuple[DataCentre, ...]
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -369,11 +369,11 @@
         self._elsewhere.take(load, now)
 
     def far_sums(self, now):
-        """Return the `FarSums` of all other data centres that were heard lately."""
+        """Return the `RemoteLoadTotal` of all other data centres that were heard lately."""
         return self._elsewhere.sums(now)
 
     def take_far_sums(self, sums, now):
-        """Take the `FarSums` that a host of this data centre has made."""
+        """Take the `RemoteLoadTotal` that a host of this data centre has made."""
         self._elsewhere.take_sums(sums, now)
 
     def knows_load(self, centre, now):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/bundles.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/bundles.py
@@ -72,7 +72,7 @@
         Return what is to be told, and forget it.
 
         Args:
-          sums: The `FarSums` for the clients, or None.
+          sums: The `RemoteLoadTotal` for the clients, or None.
         Returns:
           The datagrams for all hosts, and those for clients besides.
         """
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/bundles_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/bundles_test.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from plumsaddle_core.ops.news import FarSums
+from plumsaddle_core.ops.news import RemoteLoadTotal
 
 from .bundles import CLIENT_FOR, KEPT_OF_HOST, Collected
 from .messages import Work, decode, encode, unpack_bundle
@@ -39,7 +39,7 @@
     collected = Collected()
     collected.note_client("10.0.0.2:7000", 1.0)
     collected.add_from_hub([msgspec.Raw(_work("h1", 1))], [])
-    for_all, for_clients = collected.take(FarSums(("y",), {7: 1}))
+    for_all, for_clients = collected.take(RemoteLoadTotal(("y",), {7: 1}))
     assert for_all == []
     works, sums = _bundles(for_clients)
     assert [decode(raw).host for raw in works.works] == ["h1"]
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
@@ -11,10 +11,10 @@
 from plumsaddle_core.ops.news import (
     Counts,
     Evidence,
-    FarSums,
     OutcomeNote,
     PeerNews,
     RemoteLoad,
+    RemoteLoadTotal,
     RemoteUpdate,
     Sign,
 )
@@ -197,8 +197,10 @@
 
 
 def far_sums_of(bundle):
-    """Return the `FarSums` of a `Bundle`, or None if it has none."""
-    return FarSums(tuple(bundle.centres), bundle.load) if bundle.centres else None
+    """Return the `RemoteLoadTotal` of a `Bundle`, or None if it has none."""
+    return (
+        RemoteLoadTotal(tuple(bundle.centres), bundle.load) if bundle.centres else None
+    )
 
 
 # Bundles shorter than this (bytes) are sent as they are. Longer ones name the same
