--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings, strategies as st
 
 from ..core.traffic import Target, TargetState
-from .news import Counts, Evidence, OutcomeNote, PeerNews, RemoteUpdate, Sign, tag_of
+from .news import Counts, Evidence, OutcomeNote, PeerUpdate, RemoteUpdate, Sign, tag_of
 from .registry import Registry
 from .zone import Zone
 
@@ -17,7 +17,7 @@
 def _news(number, in_flight=None, outcomes=(), host="peer"):
     notes = tuple(OutcomeNote(n, t, "look", "r", sign, 0.3) for n, t, sign in outcomes)
     tags = {tag_of(target): count for target, count in (in_flight or {}).items()}
-    return PeerNews(host, 1, number, tags, notes, {"look": Counts()})
+    return PeerUpdate(host, 1, number, tags, notes, {"look": Counts()})
 
 
 def test_a_restarted_target_begins_anew():
--- a/packages/plumsaddle-core/plumsaddle_core/ops/news.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/news.py
@@ -80,7 +80,7 @@
         return Counts(*(a - b for a, b in zip(self, less, strict=True)))
 
 
-class PeerNews(NamedTuple):
+class PeerUpdate(NamedTuple):
     """
     A message to the hosts of the data centre: work in flight and the last outcomes.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -218,7 +218,7 @@
 
     def take(self, news, now):
         """
-        Take another host's `PeerNews`; an older one than known is ignored.
+        Take another host's `PeerUpdate`; an older one than known is ignored.
 
         Returns:
           Whether it was news.
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
@@ -12,7 +12,7 @@
     Counts,
     Evidence,
     OutcomeNote,
-    PeerNews,
+    PeerUpdate,
     RemoteLoad,
     RemoteLoadTotal,
     RemoteUpdate,
@@ -175,14 +175,16 @@
 
 
 def news_of(work):
-    """Return the `PeerNews` of a `Work`."""
+    """Return the `PeerUpdate` of a `Work`."""
     # Most messages tell neither; hosts take some hundreds of them a second.
     outcomes, counts = (), {}
     if work.outcomes:
         outcomes = tuple(OutcomeNote(*fields) for fields in work.outcomes)
     if work.counts:
         counts = {name: Counts(*numbers) for name, numbers in work.counts.items()}
-    return PeerNews(work.host, work.life, work.number, work.in_flight, outcomes, counts)
+    return PeerUpdate(
+        work.host, work.life, work.number, work.in_flight, outcomes, counts
+    )
 
 
 def far_news_of(far):
