--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -5,7 +5,15 @@
 from hypothesis import given, settings, strategies as st
 
 from ..core.traffic import Target, TargetState
-from .news import Counts, Evidence, OutcomeNote, PeerUpdate, RemoteUpdate, Sign, tag_of
+from .news import (
+    Counts,
+    Evidence,
+    OutcomeRecord,
+    PeerUpdate,
+    RemoteUpdate,
+    Sign,
+    tag_of,
+)
 from .registry import Registry
 from .zone import Zone
 
@@ -15,7 +23,9 @@
 
 
 def _news(number, in_flight=None, outcomes=(), host="peer"):
-    notes = tuple(OutcomeNote(n, t, "look", "r", sign, 0.3) for n, t, sign in outcomes)
+    notes = tuple(
+        OutcomeRecord(n, t, "look", "r", sign, 0.3) for n, t, sign in outcomes
+    )
     tags = {tag_of(target): count for target, count in (in_flight or {}).items()}
     return PeerUpdate(host, 1, number, tags, notes, {"look": Counts()})
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/news.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/news.py
@@ -40,7 +40,7 @@
 CALM_SIGNS = {Sign.WHOLE, Sign.LATE}
 
 
-class OutcomeNote(NamedTuple):
+class OutcomeRecord(NamedTuple):
     """One outcome: its number at the host that saw it, and what it saw."""
 
     number: int
@@ -94,7 +94,7 @@
     life: int
     number: int
     in_flight: dict[int, int]
-    outcomes: tuple[OutcomeNote, ...]
+    outcomes: tuple[OutcomeRecord, ...]
     counts: dict[ServiceName, Counts]
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -33,7 +33,7 @@
 )
 from .elsewhere import Elsewhere
 from .floor import Results
-from .news import Counts, Evidence, Inbox, Outbox, OutcomeNote, Sign, tag_of
+from .news import Counts, Evidence, Inbox, Outbox, OutcomeRecord, Sign, tag_of
 from .share import RetryShare
 from .suspects import Suspects
 from .times import RouteTimes
@@ -149,7 +149,7 @@
           now: The present, in seconds.
         """
         number = self.outcomes.count
-        outcome = OutcomeNote(number, target_id, service, route, sign, seconds)
+        outcome = OutcomeRecord(number, target_id, service, route, sign, seconds)
         self.outcomes.add(outcome)
         path_ratio = self._weigh(outcome, now)
         self._weigh_path(target_id, path_ratio, now)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
@@ -6,7 +6,7 @@
 
 from ..core.traffic import Kind, Target, TargetState
 from .choice import Candidate, Demand, choose_target
-from .news import Counts, OutcomeNote, PeerUpdate, Sign, tag_of
+from .news import Counts, OutcomeRecord, PeerUpdate, Sign, tag_of
 from .share import SPENT_PART, RetryShare
 from .times import USUAL_AT_FIRST
 from .zone import SILENT_AFTER, Zone
@@ -17,7 +17,9 @@
 
 
 def _news(number, outcomes=(), in_flight=None, counts=None, life=1, host="peer"):
-    notes = tuple(OutcomeNote(n, t, "look", "r", sign, 0.3) for n, t, sign in outcomes)
+    notes = tuple(
+        OutcomeRecord(n, t, "look", "r", sign, 0.3) for n, t, sign in outcomes
+    )
     tags = {tag_of(target): count for target, count in (in_flight or {}).items()}
     return PeerUpdate(host, life, number, tags, notes, counts or {})
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
@@ -11,7 +11,7 @@
 from plumsaddle_core.ops.news import (
     Counts,
     Evidence,
-    OutcomeNote,
+    OutcomeRecord,
     PeerUpdate,
     RemoteLoad,
     RemoteLoadTotal,
@@ -179,7 +179,7 @@
     # Most messages tell neither; hosts take some hundreds of them a second.
     outcomes, counts = (), {}
     if work.outcomes:
-        outcomes = tuple(OutcomeNote(*fields) for fields in work.outcomes)
+        outcomes = tuple(OutcomeRecord(*fields) for fields in work.outcomes)
     if work.counts:
         counts = {name: Counts(*numbers) for name, numbers in work.counts.items()}
     return PeerUpdate(
