--- a/packages/plumsaddle-core/plumsaddle_core/ops/news.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/news.py
@@ -17,7 +17,7 @@
 
 # Notes kept for telling. A host whose allowance is used up tells some tens of
 # outcomes together; what is older than these is not worth telling any more.
-KEPT_MOST = 48
+MAX_PENDING = 48
 
 
 class Sign(enum.Enum):
@@ -154,7 +154,7 @@
 
     def __init__(self):
         self.count = 0
-        self._notes = deque(maxlen=KEPT_MOST)
+        self._notes = deque(maxlen=MAX_PENDING)
         self._told_once = 0
         self._told_twice = 0
 
@@ -191,7 +191,7 @@
     def __init__(self, life):
         self.life = life
         self._ended = deque(maxlen=8)
-        self._seen = deque(maxlen=KEPT_MOST)
+        self._seen = deque(maxlen=MAX_PENDING)
 
     def is_former(self, life):
         """Return whether a life has ended, so that its messages come late."""
