--- a/packages/plumsaddle-core/plumsaddle_core/ops/news.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/news.py
@@ -37,7 +37,7 @@
 
 
 # Outcomes that can wait to be told: they make no target look worse.
-CALM_SIGNS = {Sign.WHOLE, Sign.LATE}
+DEFERRABLE_OUTCOMES = {Sign.WHOLE, Sign.LATE}
 
 
 class OutcomeRecord(NamedTuple):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -19,7 +19,7 @@
 from plumsaddle_core.limits.targets import TargetLimits
 from plumsaddle_core.ops.choice import Candidate, Demand, Rule, choose_target
 from plumsaddle_core.ops.floor import Trials
-from plumsaddle_core.ops.news import CALM_SIGNS, Sign
+from plumsaddle_core.ops.news import DEFERRABLE_OUTCOMES, Sign
 from plumsaddle_core.ops.registry import Registry
 from plumsaddle_core.ops.subset import (
     SMALL,
@@ -429,7 +429,7 @@
         if sign is None:
             return
         self.zone.note(target.life, target.service, route.name, sign, seconds, now())
-        self._tell(is_urgent=sign not in CALM_SIGNS)
+        self._tell(is_urgent=sign not in DEFERRABLE_OUTCOMES)
 
     def _tell(self, is_urgent):
         if self._on_work is not None:
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -15,7 +15,7 @@
 from plumsaddle_core.core.traffic import id_of_life
 from plumsaddle_core.limits.liveness import HostCount
 from plumsaddle_core.limits.named import LimitRow
-from plumsaddle_core.ops.news import CALM_SIGNS
+from plumsaddle_core.ops.news import DEFERRABLE_OUTCOMES
 from plumsaddle_core.ops.suspects import RunNote
 
 from ..utils.addresses import is_address
@@ -104,7 +104,7 @@
             limits_known = self._zone.limits.named.revision
             if self._take_work(message, at):
                 self._collected.add_work(message.host, data)
-                is_calm = all(row[4] in CALM_SIGNS for row in message.outcomes)
+                is_calm = all(row[4] in DEFERRABLE_OUTCOMES for row in message.outcomes)
                 has_runs = self._zone.suspects.near_count > runs_known
                 has_limits = self._zone.limits.named.revision != limits_known
                 self._ways.send_soon(has_runs or has_limits or not is_calm)
