--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours.py
@@ -53,7 +53,7 @@
 FIRST_ASKERS = 4
 
 
-class Contact(enum.Enum):
+class StoreStatus(enum.Enum):
     """How a host stands to the store."""
 
     # It is told by readers, or has not read yet.
@@ -75,7 +75,7 @@
 
     heard_at: float
     link: float = 0.0
-    contact: Contact = Contact.TOLD
+    contact: StoreStatus = StoreStatus.TOLD
     avoided_until: float = 0.0
 
 
@@ -204,12 +204,12 @@
         Return whether this host should follow the store for all.
 
         Args:
-          contact: This host's own `Contact`.
+          contact: This host's own `StoreStatus`.
           now: The present, in seconds.
         """
-        if contact is Contact.AWAY:
+        if contact is StoreStatus.AWAY:
             return False
-        before = [h for h in self._before(now) if h.contact is not Contact.AWAY]
+        before = [h for h in self._before(now) if h.contact is not StoreStatus.AWAY]
         return len(before) < READERS
 
     def is_first_asker(self, now):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
@@ -8,8 +8,8 @@
     HUB_SILENT_FOR,
     READER_LIVE_FOR,
     READERS,
-    Contact,
     Neighbours,
+    StoreStatus,
 )
 
 NAMES = [f"10.0.0.{number}:7000" for number in range(1, 60)]
@@ -28,7 +28,7 @@
         for name in heard:
             if name != own:
                 table.hear(name, at)
-                table.describe(name, (links or {}).get(name, 0.0), Contact.TOLD)
+                table.describe(name, (links or {}).get(name, 0.0), StoreStatus.TOLD)
 
 
 def test_hosts_that_hear_the_same_pick_the_same():
@@ -36,7 +36,7 @@
     for table in tables.values():
         table.pick_hub(0.1)
     assert {table.hub or name for name, table in tables.items()} == {NAMES[7]}
-    readers = [n for n, t in tables.items() if t.is_reader(Contact.TOLD, 0.1)]
+    readers = [n for n, t in tables.items() if t.is_reader(StoreStatus.TOLD, 0.1)]
     assert len(readers) == READERS
     askers = [n for n, t in tables.items() if t.is_first_asker(0.1)]
     assert len(askers) == FIRST_ASKERS
@@ -48,12 +48,12 @@
     serves all other hosts.
     """
     tables = _fleet()
-    lost = [n for n, t in tables.items() if t.is_reader(Contact.TOLD, 0.1)]
+    lost = [n for n, t in tables.items() if t.is_reader(StoreStatus.TOLD, 0.1)]
     for name in lost:
         for own, table in tables.items():
             if own != name:
-                table.describe(name, 0.0, Contact.AWAY)
-    contacts = {n: Contact.AWAY if n in lost else Contact.TOLD for n in NAMES}
+                table.describe(name, 0.0, StoreStatus.AWAY)
+    contacts = {n: StoreStatus.AWAY if n in lost else StoreStatus.TOLD for n in NAMES}
     readers = [n for n, t in tables.items() if t.is_reader(contacts[n], 0.1)]
     assert len(readers) == READERS
     assert not set(readers) & set(lost)
@@ -65,11 +65,13 @@
     off when it began to leave, and nobody else asked the store.
     """
     tables = _fleet()
-    lost = [n for n, t in tables.items() if t.is_reader(Contact.TOLD, 0.1)]
+    lost = [n for n, t in tables.items() if t.is_reader(StoreStatus.TOLD, 0.1)]
     at = READER_LIVE_FOR
     _hear(tables, set(NAMES) - set(lost), at)
     readers = [
-        n for n, t in tables.items() if n not in lost and t.is_reader(Contact.TOLD, at)
+        n
+        for n, t in tables.items()
+        if n not in lost and t.is_reader(StoreStatus.TOLD, at)
     ]
     assert len(readers) == READERS
     assert READER_LIVE_FOR < 1.5
@@ -79,7 +81,7 @@
     alone = Neighbours(NAMES[0], None)
     assert not alone.pick_hub(1.0)
     assert alone.hub is None
-    assert alone.is_reader(Contact.TOLD, 1.0)
+    assert alone.is_reader(StoreStatus.TOLD, 1.0)
 
 
 def test_a_silent_hub_is_left_and_not_taken_back_at_once():
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/gate.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/gate.py
@@ -6,7 +6,7 @@
 import logging
 import math
 
-from plumsaddle_core.ops.neighbours import Contact
+from plumsaddle_core.ops.neighbours import StoreStatus
 
 from .clock import now
 
@@ -49,12 +49,12 @@
         self.is_first_asker = True
 
     def contact(self, at):
-        """Return the host's `Contact` by now."""
+        """Return the host's `StoreStatus` by now."""
         if at - self._failed_at < AWAY_FOR:
-            return Contact.AWAY
+            return StoreStatus.AWAY
         if self.is_reader and at - self._answered_at < TOLD_FOR:
-            return Contact.READING
-        return Contact.TOLD
+            return StoreStatus.READING
+        return StoreStatus.TOLD
 
     def set_reader(self, is_reader):
         """Set whether this host reads for others, and return whether that is new."""
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from plumsaddle_core.ops.neighbours import Contact
+from plumsaddle_core.ops.neighbours import StoreStatus
 from plumsaddle_core.ops.news import (
     Counts,
     Evidence,
@@ -61,7 +61,7 @@
     """
 
     link: BytesPerSecond
-    contact: Contact
+    contact: StoreStatus
     read: dict[str, tuple[Count, Seconds]]
     returned: Seconds
     members: list[str] = []
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
@@ -5,7 +5,7 @@
 import logging
 import math
 
-from plumsaddle_core.ops.neighbours import Contact
+from plumsaddle_core.ops.neighbours import StoreStatus
 
 from .clock import now
 from .messages import Records, encode, pack_records, unpack_records
@@ -33,7 +33,7 @@
         self._send = send
 
     def contact(self, at):
-        """Return how this host stands to the store, as a `Contact`."""
+        """Return how this host stands to the store, as a `StoreStatus`."""
         return self._gate.contact(at)
 
     def update(self, may_read, at):
@@ -67,7 +67,7 @@
           By topic the next offset, and how many seconds ago the store said so; nothing
           unless this host is a reader that the store answers.
         """
-        if self._gate.contact(at) is not Contact.READING:
+        if self._gate.contact(at) is not StoreStatus.READING:
             return {}
         return {
             topic: (feed.next_offset, max(0.0, at - feed.said_at))
@@ -110,7 +110,7 @@
 
     def take_beat(self, beat, at):
         """Take what a beat says of the store."""
-        if beat.contact is Contact.READING:
+        if beat.contact is StoreStatus.READING:
             self._gate.note_returned(at - beat.returned)
         for topic, (offset, age) in beat.read.items():
             if topic in self._feeds:
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
@@ -10,7 +10,7 @@
 from returns.result import Failure
 
 from plumsaddle_core.core.traffic import TargetState
-from plumsaddle_core.ops.neighbours import Contact
+from plumsaddle_core.ops.neighbours import StoreStatus
 from plumsaddle_hosts.edge.clock import now
 from plumsaddle_hosts.edge.feed import START_REST, WAIT_MOST
 from plumsaddle_hosts.edge.gate import TOLD_FOR
@@ -142,7 +142,7 @@
         trial.store.fault = Fault.BUSY
         await asyncio.sleep(3.0)
         assert all(
-            host.store_gate.contact(now()) is Contact.AWAY for host in trial.hosts
+            host.store_gate.contact(now()) is StoreStatus.AWAY for host in trial.hosts
         )
         trial.store.fault = Fault.NONE
         trial.store.calls.clear()
