--- a/packages/plumsaddle-core/plumsaddle_core/ops/elsewhere.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/elsewhere.py
@@ -48,7 +48,7 @@
         return RemoteLoadTotal(tuple(load.centre for load in loads), dict(total))
 
     def sums(self, now):
-        """Return the `RemoteLoadTotal` that were taken or made last, if they are fresh."""
+        """Return the latest `RemoteLoadTotal`, empty if it is out of date."""
         return self._sums if now - self._sums_at < LOAD_FOR else RemoteLoadTotal((), {})
 
     def take_sums(self, sums, now):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -365,11 +365,11 @@
         return here + self._elsewhere.in_flight(tag)
 
     def take_far_load(self, load, now):
-        """Take another data centre's `RemoteLoad`; an older one of a host is ignored."""
+        """Apply another data centre's `RemoteLoad` unless it is older."""
         self._elsewhere.take(load, now)
 
     def far_sums(self, now):
-        """Return the `RemoteLoadTotal` of all other data centres that were heard lately."""
+        """Return the `RemoteLoadTotal` of all reachable data centres."""
         return self._elsewhere.sums(now)
 
     def take_far_sums(self, sums, now):
