--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -202,7 +202,7 @@
         return bool(set(self.seeds) - {self.peers})
 
 
-class Fate(enum.Enum):
+class SendOutcome(enum.Enum):
     """What became of one send, as far as this host can know."""
 
     WHOLE = "whole"
--- a/packages/plumsaddle-core/plumsaddle_core/ops/attempt.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/attempt.py
@@ -10,10 +10,10 @@
 
 import enum
 
-from ..core.traffic import Fate
+from ..core.traffic import SendOutcome
 
-NOT_RUN = {Fate.NOT_RUN, Fate.WRONG_TARGET}
-NOT_SENT = {Fate.UNREACHED, Fate.UNSENT}
+NOT_RUN = {SendOutcome.NOT_RUN, SendOutcome.WRONG_TARGET}
+NOT_SENT = {SendOutcome.UNREACHED, SendOutcome.UNSENT}
 
 
 class Stage(enum.Enum):
@@ -75,7 +75,7 @@
         Take what became of one send.
 
         Args:
-          fate: The `Fate`; `WHOLE` ends the request.
+          fate: The `SendOutcome`; `WHOLE` ends the request.
         """
         assert self._outstanding, "a send ended that was never begun"
         self._outstanding -= 1
@@ -83,7 +83,7 @@
             self.may_have_run = True
         if self.stage is Stage.ANSWERED:
             return
-        if fate is Fate.WHOLE:
+        if fate is SendOutcome.WHOLE:
             self.stage = Stage.ANSWERED
         elif not self._outstanding:
             self.stage = Stage.OPEN if self.may_have_run else Stage.REFUSED
--- a/packages/plumsaddle-core/plumsaddle_core/ops/attempt_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/attempt_test.py
@@ -10,18 +10,18 @@
     rule,
 )
 
-from ..core.traffic import Fate, Kind
+from ..core.traffic import Kind, SendOutcome
 from .attempt import Attempt, Stage
 
 ENDS = [
-    Fate.WHOLE,
-    Fate.NOT_RUN,
-    Fate.WRONG_TARGET,
-    Fate.FAILED,
-    Fate.BROKEN,
-    Fate.UNSIGNED,
-    Fate.TIMED_OUT,
-    Fate.ABANDONED,
+    SendOutcome.WHOLE,
+    SendOutcome.NOT_RUN,
+    SendOutcome.WRONG_TARGET,
+    SendOutcome.FAILED,
+    SendOutcome.BROKEN,
+    SendOutcome.UNSIGNED,
+    SendOutcome.TIMED_OUT,
+    SendOutcome.ABANDONED,
 ]
 
 
@@ -73,7 +73,7 @@
         """Let nothing happen, so that a finished request may stay finished."""
 
     def _may_have_run(self):
-        refused = {Fate.NOT_RUN, Fate.WRONG_TARGET}
+        refused = {SendOutcome.NOT_RUN, SendOutcome.WRONG_TARGET}
         return bool(self.open) or any(fate not in refused for fate in self.history)
 
     @invariant()
@@ -87,7 +87,7 @@
 
     @invariant()
     def an_answered_request_goes_nowhere(self):
-        if Fate.WHOLE in self.history:
+        if SendOutcome.WHOLE in self.history:
             assert self.attempt.stage is Stage.ANSWERED
             assert not self.attempt.may_send()
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -12,7 +12,7 @@
 from returns.result import Failure
 
 from plumsaddle_core.core.parts import Part
-from plumsaddle_core.core.traffic import Fate, TargetState
+from plumsaddle_core.core.traffic import SendOutcome, TargetState
 from plumsaddle_core.limits.meter import Tolerance
 from plumsaddle_core.limits.quotas import Quotas
 from plumsaddle_core.limits.roster import Roster
@@ -48,15 +48,15 @@
 ANSWER_AT_FIRST = 2000.0
 ANSWER_PART = 0.1
 SIGNS = {
-    Fate.WHOLE: Sign.WHOLE,
-    Fate.UNREACHED: Sign.UNREACHABLE,
+    SendOutcome.WHOLE: Sign.WHOLE,
+    SendOutcome.UNREACHED: Sign.UNREACHABLE,
     # Somebody else has the address, so the target is gone although it is still listed.
-    Fate.WRONG_TARGET: Sign.UNREACHABLE,
-    Fate.TIMED_OUT: Sign.STUCK,
-    Fate.FAILED: Sign.FAILED,
-    Fate.NOT_RUN: Sign.SHED,
-    Fate.BROKEN: Sign.FAILED,
-    Fate.UNSIGNED: Sign.FAILED,
+    SendOutcome.WRONG_TARGET: Sign.UNREACHABLE,
+    SendOutcome.TIMED_OUT: Sign.STUCK,
+    SendOutcome.FAILED: Sign.FAILED,
+    SendOutcome.NOT_RUN: Sign.SHED,
+    SendOutcome.BROKEN: Sign.FAILED,
+    SendOutcome.UNSIGNED: Sign.FAILED,
 }
 
 
@@ -398,9 +398,9 @@
 
     def note(self, target, route, fate, seconds):
         """Take the fate of a send, or of one that is unanswered for too long."""
-        if fate is Fate.NOT_RUN and not self._has_room(target):
+        if fate is SendOutcome.NOT_RUN and not self._has_room(target):
             return
-        if fate is Fate.NOT_RUN and self.limits.rate(target) is not None:
+        if fate is SendOutcome.NOT_RUN and self.limits.rate(target) is not None:
             # It rejects what is beyond its limit, and is no worse for that.
             return
         self._note(target, route, SIGNS.get(fate), seconds)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/limits.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/limits.py
@@ -10,14 +10,14 @@
 
 from returns.result import Failure
 
-from plumsaddle_core.core.traffic import Fate
+from plumsaddle_core.core.traffic import SendOutcome
 
 from ..platform import wire
 from .clock import now
 
 log = logging.getLogger("limits")
 # What becomes of a request that its target has run to an answer.
-RUN_FATES = {Fate.WHOLE, Fate.FAILED, Fate.TIMED_OUT}
+RUN_FATES = {SendOutcome.WHOLE, SendOutcome.FAILED, SendOutcome.TIMED_OUT}
 
 
 class RateLimits:
@@ -97,11 +97,11 @@
         Args:
           target: The `Target` that the request was sent to.
           headers: The answer's headers.
-          fate: The `Fate` of the send, or None if it was abandoned.
+          fate: The `SendOutcome` of the send, or None if it was abandoned.
           sent_at: When the request was sent, in seconds.
           request_id: The request's id, as bytes.
         """
-        if fate is Fate.WRONG_TARGET:
+        if fate is SendOutcome.WRONG_TARGET:
             return
         named = wire.decode_rate_limit(headers)
         if isinstance(named, Failure):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
@@ -18,7 +18,7 @@
 
 import httptools
 
-from plumsaddle_core.core.traffic import Fate
+from plumsaddle_core.core.traffic import SendOutcome
 
 from ..utils.addresses import split_address
 from .clock import now
@@ -49,7 +49,7 @@
     One request on a link, and what has come of its answer.
 
     `body` holds what was received and not yet taken. `fate` is None until the answer
-    is complete (`Fate.WHOLE`) or has failed.
+    is complete (`SendOutcome.WHOLE`) or has failed.
     """
 
     def __init__(self, request_id):
@@ -163,7 +163,7 @@
         self.used_at = now()
         if (
             exchange is None
-            or exchange.fate is not Fate.WHOLE
+            or exchange.fate is not SendOutcome.WHOLE
             or self._is_sending
             or self._is_spoiled
         ):
@@ -209,7 +209,7 @@
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self._is_spoiled = True
-            exchange.finish(Fate.BROKEN)
+            exchange.finish(SendOutcome.BROKEN)
             return
         if len(exchange.body) > READ_AHEAD and exchange.fate is None:
             self.transport.pause_reading()
@@ -218,13 +218,13 @@
     def eof_received(self):
         self._is_spoiled = True
         if self._is_until_end and self.exchange is not None:
-            self.exchange.finish(Fate.WHOLE)
+            self.exchange.finish(SendOutcome.WHOLE)
 
     def connection_lost(self, exc):
         self.is_closed = True
         self.resume_writing()
         if self.exchange is not None:
-            self.exchange.finish(Fate.BROKEN)
+            self.exchange.finish(SendOutcome.BROKEN)
         self._on_closed(self)
 
     # What the parser calls.
@@ -261,7 +261,7 @@
         if not self._parser.should_keep_alive():
             self._is_spoiled = True
         if not self._is_skipped:
-            self.exchange.finish(Fate.WHOLE)
+            self.exchange.finish(SendOutcome.WHOLE)
 
     def _note_idle_limit(self):
         """Learn for how long the target keeps idle connections."""
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -13,7 +13,7 @@
 from typing import Any, NamedTuple
 
 from plumsaddle_core.core.parts import Part
-from plumsaddle_core.core.traffic import Fate, Reply
+from plumsaddle_core.core.traffic import Reply, SendOutcome
 from plumsaddle_core.limits.targets import longest_wait
 from plumsaddle_core.ops.attempt import NOT_SENT, Attempt
 from plumsaddle_core.ops.urgency import patience
@@ -48,7 +48,7 @@
     """What one send came to."""
 
     target: Any
-    fate: Fate
+    fate: SendOutcome
     reply: Reply | None
     seconds: float
 
@@ -164,7 +164,7 @@
             for task in done - {self._end}:
                 self._sends.discard(task)
                 result = task.result()
-                if result.fate is Fate.WHOLE:
+                if result.fate is SendOutcome.WHOLE:
                     self._knowledge.note_answer(self._ask.route, len(result.reply.body))
                     return self._log_answer(result)
                 answer = await self._recover(result)
@@ -257,7 +257,7 @@
         A status that promises that the request has not run goes out only when this
         host knows so.
         """
-        if result.fate not in (Fate.FAILED, Fate.TIMED_OUT):
+        if result.fate not in (SendOutcome.FAILED, SendOutcome.TIMED_OUT):
             return False
         return result.reply.status not in (408, 421, 429, 503)
 
@@ -385,7 +385,7 @@
                 self._knowledge.end(target)
                 limits.release(target)
         if not may_send:
-            return Result(target, Fate.UNSENT, None, choice.candidate.wait)
+            return Result(target, SendOutcome.UNSENT, None, choice.candidate.wait)
         self._attempt.note_send(target.id)
         return await self._send(choice)
 
@@ -401,7 +401,7 @@
         """Send to the target of a `Choice` and return the `Result`."""
         target = choice.candidate.target
         started = now()
-        sent = Sent(Fate.ABANDONED)
+        sent = Sent(SendOutcome.ABANDONED)
         stuck = asyncio.get_running_loop().call_later(
             _slow_after(STUCK_FACTOR, choice), self._note_stuck, choice
         )
@@ -418,21 +418,23 @@
                 self._knowledge.limits.release(target)
             else:
                 self._attempt.note_fate(fate)
-            if fate is Fate.ABANDONED and seconds > _slow_after(HEDGE_FACTOR, choice):
-                fate = Fate.TIMED_OUT
+            if fate is SendOutcome.ABANDONED and seconds > _slow_after(
+                HEDGE_FACTOR, choice
+            ):
+                fate = SendOutcome.TIMED_OUT
             has_waits = Part.WORK_TIMES in self._knowledge.settings.off
             work = seconds if has_waits else seconds / choice.load
             if not is_stuck:
                 self._knowledge.note(target, self._ask.route, fate, work)
-            elif fate is Fate.WHOLE:
+            elif fate is SendOutcome.WHOLE:
                 self._knowledge.note_late(target, self._ask.route, work)
-        if fate is not Fate.WHOLE:
+        if fate is not SendOutcome.WHOLE:
             self._log_failure(target, sent._replace(fate=fate), seconds)
         return Result(target, fate, sent.reply, seconds)
 
     def _note_stuck(self, choice):
         target = choice.candidate.target
-        self._knowledge.note(target, self._ask.route, Fate.TIMED_OUT, 0.0)
+        self._knowledge.note(target, self._ask.route, SendOutcome.TIMED_OUT, 0.0)
         log.info(
             "stuck",
             extra={
@@ -451,7 +453,7 @@
                 "fate": sent.fate.value,
                 "status": sent.reply.status if sent.reply else None,
                 "seconds": round(seconds, 4),
-                "key": self._suspicion.key if sent.fate is Fate.BROKEN else None,
+                "key": self._suspicion.key if sent.fate is SendOutcome.BROKEN else None,
                 # These tell a dead connection from a failing target.
                 "connection": sent.connection.kind,
                 "age": sent.connection.age,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 
-from plumsaddle_core.core.traffic import Fate, Reply
+from plumsaddle_core.core.traffic import Reply, SendOutcome
 
 from .clock import now
 from .link import Unconnected
@@ -44,7 +44,7 @@
     `has_begun_rest` is set once a part of a long body was read that is not kept.
     """
 
-    fate: Fate
+    fate: SendOutcome
     reply: Reply | None = None
     connection: Connection = Connection("none")
     has_begun_rest: bool = False
@@ -90,7 +90,7 @@
         if isinstance(link, Unconnected):
             if link is Unconnected.REFUSED:
                 self._endings.note_refused(target)
-            return Sent(Fate.UNREACHED, None, Connection(link.value))
+            return Sent(SendOutcome.UNREACHED, None, Connection(link.value))
         at = now()
         age = round(at - link.opened_at, 3)
         idle = 0.0 if is_new else round(at - link.used_at, 3)
@@ -98,7 +98,7 @@
         is_late = ask.deadline <= at or ask.caller.is_gone()
         if is_late or not self._knowledge.is_usable(target):
             self._links.put_unused(target.life, link)
-            return Sent(Fate.UNSENT, None, connection)
+            return Sent(SendOutcome.UNSENT, None, connection)
         fate, reply = await self._talk(ask, target, link, suspicion)
         return Sent(fate, reply, connection, ask.rest is not None)
 
@@ -117,7 +117,7 @@
                 await exchange.collect(HELD_MOST)
             if exchange.fate is None and exchange.has_head:
                 fate, reply = judge_head(exchange, Rest(exchange, link))
-                is_done = fate is Fate.WHOLE
+                is_done = fate is SendOutcome.WHOLE
                 # Of a long answer that is a failure nobody will read the rest.
                 return fate, reply if is_done else None
             fate, reply = judge(exchange)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
@@ -5,7 +5,7 @@
 import functools
 
 from plumsaddle_core.core.parts import Part
-from plumsaddle_core.core.traffic import Fate
+from plumsaddle_core.core.traffic import SendOutcome
 from plumsaddle_core.ops.attempt import Stage
 from plumsaddle_core.ops.suspects import RETRIED_MOST, RunNote
 
@@ -13,7 +13,12 @@
 from .outgoing import key_of
 
 # Fates that show that a target ran the request and is still there.
-RAN = {Fate.WHOLE, Fate.FAILED, Fate.UNSIGNED, Fate.TIMED_OUT}
+RAN = {
+    SendOutcome.WHOLE,
+    SendOutcome.FAILED,
+    SendOutcome.UNSIGNED,
+    SendOutcome.TIMED_OUT,
+}
 
 
 class Suspicion:
@@ -78,9 +83,9 @@
         Args:
           target: The `Target`.
           exchange: The `Exchange`.
-          fate: The `Fate`, or None if the send was given up.
+          fate: The `SendOutcome`, or None if the send was given up.
         """
-        if fate is Fate.BROKEN and not exchange.has_head:
+        if fate is SendOutcome.BROKEN and not exchange.has_head:
             self._endings.note_broken(target, self.key)
         elif fate in RAN:
             if len(self._suspects):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/verdict.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/verdict.py
@@ -2,15 +2,15 @@
 What a target's answer says of its request, and the rest of an answer that is long.
 """
 
-from plumsaddle_core.core.traffic import Fate, Reply
+from plumsaddle_core.core.traffic import Reply, SendOutcome
 
 from ..platform import wire
 
 
 def judge(exchange):
     """Return the fate and the `Reply` of an exchange that has ended."""
-    if exchange.fate is not Fate.WHOLE:
-        return Fate.BROKEN, None
+    if exchange.fate is not SendOutcome.WHOLE:
+        return SendOutcome.BROKEN, None
     return judge_head(exchange, None)
 
 
@@ -21,18 +21,20 @@
     exchange.body.clear()
     reply = Reply(exchange.status, exchange.headers, body, rest)
     if exchange.status == 421:
-        return Fate.WRONG_TARGET, reply
+        return SendOutcome.WRONG_TARGET, reply
     if wire.NOT_RUN.lower().encode() in headers:
-        return Fate.NOT_RUN, reply
+        return SendOutcome.NOT_RUN, reply
     if 200 <= exchange.status < 300:
         is_signed = wire.SIGNATURE.lower().encode() in headers
         is_plain = b"content-encoding" not in headers
-        return (Fate.WHOLE if is_signed and is_plain else Fate.UNSIGNED), reply
+        return (
+            SendOutcome.WHOLE if is_signed and is_plain else SendOutcome.UNSIGNED
+        ), reply
     if exchange.status == 504:
-        return Fate.TIMED_OUT, reply
+        return SendOutcome.TIMED_OUT, reply
     if exchange.status >= 500 or exchange.status in (408, 429):
-        return Fate.FAILED, reply
-    return Fate.WHOLE, reply
+        return SendOutcome.FAILED, reply
+    return SendOutcome.WHOLE, reply
 
 
 class Rest:
@@ -58,7 +60,7 @@
             part = bytes(exchange.body)
             exchange.body.clear()
             return part
-        return b"" if exchange.fate is Fate.WHOLE else None
+        return b"" if exchange.fate is SendOutcome.WHOLE else None
 
     def close(self):
         """Close the connection."""
