--- a/packages/plumsaddle-core/plumsaddle_core/core/parts.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/parts.py
@@ -8,7 +8,7 @@
 import enum
 
 
-class Part(enum.Enum):
+class Feature(enum.Enum):
     """A mechanism, by the name that settings give it."""
 
     # Data centres tell each other outcomes that change a belief.
--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -21,7 +21,7 @@
     TargetId,
     WorkspaceName,
 )
-from .parts import Part
+from .parts import Feature
 
 
 class Kind(enum.Enum):
@@ -194,7 +194,7 @@
     store: Address
     bounds: Bounds
     link: float | None = None
-    off: frozenset[Part] = frozenset()
+    off: frozenset[Feature] = frozenset()
 
     @property
     def has_seeds(self):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -11,7 +11,7 @@
 
 from returns.result import Failure
 
-from plumsaddle_core.core.parts import Part
+from plumsaddle_core.core.parts import Feature
 from plumsaddle_core.core.traffic import SendOutcome, TargetState
 from plumsaddle_core.limits.meter import Tolerance
 from plumsaddle_core.limits.quotas import Quotas
@@ -94,7 +94,7 @@
             bounds.retry_ratio,
             bounds.retry_window,
             now(),
-            has_paths=Part.PATHS not in settings.off,
+            has_paths=Feature.PATHS not in settings.off,
             quotas=Quotas(
                 Tolerance(
                     bounds.quota_window, bounds.quota_overshoot, bounds.quota_slack
@@ -276,7 +276,7 @@
 
     def _choose_usable(self, service, usable, demand, excluded, has_link, at):
         """Choose among targets to which a request may be sent at once."""
-        may_try = not excluded and Part.FLOOR_TRIALS not in self.settings.off
+        may_try = not excluded and Feature.FLOOR_TRIALS not in self.settings.off
         trial = self._find_trial(service, usable, at) if may_try else None
         if trial is not None:
             tried = [target for target in usable if target.life == trial]
@@ -340,7 +340,7 @@
             self.zone.in_flight(target.life),
             at < target.read_at + target.cold_for,
             is_near,
-            Part.OPEN_CONNECTIONS not in self.settings.off and has_link(target.life),
+            Feature.OPEN_CONNECTIONS not in self.settings.off and has_link(target.life),
             is_near or self.zone.knows_load(target.centre, at),
             self.limits.wait(target, at),
         )
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from plumsaddle_core.core.parts import Part
+from plumsaddle_core.core.parts import Feature
 from plumsaddle_core.core.traffic import (
     Bounds,
     HostSettings,
@@ -23,7 +23,7 @@
 DEMAND = Demand(Kind.ORDER, 0.2, 0.6, 1.5, 1.0)
 
 
-def _knowledge(count, off=frozenset({Part.FLOOR_TRIALS})):
+def _knowledge(count, off=frozenset({Feature.FLOOR_TRIALS})):
     settings = HostSettings(
         "h", "x", ("x", "y"), "", "", "", (), "", Bounds(), None, off
     )
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -2,7 +2,7 @@
 What a hub tells the hubs of other data centres.
 """
 
-from plumsaddle_core.core.parts import Part
+from plumsaddle_core.core.parts import Feature
 
 from .messages import Far, Load, encode
 from .strangers import Strangers
@@ -64,7 +64,7 @@
         evidence = [
             (e.number, e.target, round(e.ratio, 3)) for e in self._zone.evidence.take()
         ]
-        if Part.FAR_EVIDENCE in settings.off:
+        if Feature.FAR_EVIDENCE in settings.off:
             evidence = []
         limits = self._limit_rows(is_periodic=bool(used))
         if evidence or used or runs or limits:
@@ -84,7 +84,7 @@
     def tell_load(self, at):
         """Tell what the hosts of this data centre have in flight."""
         settings = self._settings
-        if Part.FAR_LOAD in settings.off:
+        if Feature.FAR_LOAD in settings.off:
             return
         self._load_number += 1
         load = Load(
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -22,7 +22,7 @@
 
 import msgspec
 
-from plumsaddle_core.core.parts import Part
+from plumsaddle_core.core.parts import Feature
 from plumsaddle_core.limits.named import ROWS_MOST
 from plumsaddle_core.ops.neighbours import Neighbours
 from plumsaddle_core.ops.pacing import Allowances
@@ -99,7 +99,7 @@
         # Drawn and not taken from a clock: the time of day jumps back, and then a
         # restarted host would look older than it was and be ignored.
         self._life = secrets.randbits(48)
-        is_bounded = Part.ALLOWANCE not in settings.off
+        is_bounded = Feature.ALLOWANCE not in settings.off
         self._allowances = Allowances(settings.link, is_bounded)
         self._counted_at = 0.0
         self._number = 0
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -12,7 +12,7 @@
 import logging
 from typing import Any, NamedTuple
 
-from plumsaddle_core.core.parts import Part
+from plumsaddle_core.core.parts import Feature
 from plumsaddle_core.core.traffic import Reply, SendOutcome
 from plumsaddle_core.limits.targets import longest_wait
 from plumsaddle_core.ops.attempt import NOT_SENT, Attempt
@@ -193,7 +193,7 @@
     def _may_hedge(self):
         return (
             not self._is_hedged
-            and Part.SECOND_SENDS not in self._knowledge.settings.off
+            and Feature.SECOND_SENDS not in self._knowledge.settings.off
             and self._ask.route.kind.may_repeat
             and self._attempt.may_send()
             and self._suspicion.may_hedge()
@@ -422,7 +422,7 @@
                 HEDGE_FACTOR, choice
             ):
                 fate = SendOutcome.TIMED_OUT
-            has_waits = Part.WORK_TIMES in self._knowledge.settings.off
+            has_waits = Feature.WORK_TIMES in self._knowledge.settings.off
             work = seconds if has_waits else seconds / choice.load
             if not is_stuck:
                 self._knowledge.note(target, self._ask.route, fate, work)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
@@ -4,7 +4,7 @@
 
 import functools
 
-from plumsaddle_core.core.parts import Part
+from plumsaddle_core.core.parts import Feature
 from plumsaddle_core.core.traffic import SendOutcome
 from plumsaddle_core.ops.attempt import Stage
 from plumsaddle_core.ops.suspects import RETRIED_MOST, RunNote
@@ -38,7 +38,7 @@
         self._suspects = knowledge.zone.suspects
         self._knowledge = knowledge
         self._endings = endings
-        self._is_off = Part.HOLDING_BACK in knowledge.settings.off
+        self._is_off = Feature.HOLDING_BACK in knowledge.settings.off
 
     @functools.cached_property
     def key(self):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/nodefile.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/nodefile.py
@@ -9,7 +9,7 @@
 
 from returns.result import Failure, Success
 
-from plumsaddle_core.core.parts import Part
+from plumsaddle_core.core.parts import Feature
 from plumsaddle_core.core.traffic import Bounds, HostSettings
 
 from ..utils.addresses import is_address
@@ -96,7 +96,7 @@
 def _check_experiments(table, mistakes):
     """Return the parts that a table switches off."""
     off = table.get("off", []) if isinstance(table, dict) else None
-    known = {part.value: part for part in Part}
+    known = {part.value: part for part in Feature}
     if not isinstance(off, list) or not all(isinstance(name, str) for name in off):
         mistakes.append("experiments.off: a list of texts is needed")
         return frozenset()
--- a/packages/plumsaddle-standins/plumsaddle_standins/crashes.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/crashes.py
@@ -26,7 +26,7 @@
 import aiohttp
 import fire
 
-from plumsaddle_core.core.parts import Part
+from plumsaddle_core.core.parts import Feature
 from plumsaddle_core.ops.fingerprint import request_key
 
 from .store import Fault
@@ -128,7 +128,7 @@
       hosts: How many hosts.
       seed: What all is drawn from.
       seconds: For how long requests come.
-      off: The `Part`s that hosts do without.
+      off: The `Feature`s that hosts do without.
     """
 
     def __init__(self, hosts=40, seed=1, seconds=15.0, off=frozenset()):
@@ -371,7 +371,7 @@
       runs: How many runs.
       naive: Whether hosts hold nothing back.
     """
-    off = frozenset({Part.HOLDING_BACK}) if naive else frozenset()
+    off = frozenset({Feature.HOLDING_BACK}) if naive else frozenset()
     logging.disable(logging.WARNING)
     broken = 0
     for number in range(seed, seed + runs):
