--- a/packages/plumsaddle-core/plumsaddle_core/core/data.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/data.py
@@ -38,7 +38,7 @@
     DETECTION_TIME = "detection-time"
 
 
-class Standing(enum.Enum):
+class HealthState(enum.Enum):
     """What a host lets a target do."""
 
     GOOD = "good"
--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
@@ -12,7 +12,7 @@
 import math
 from typing import NamedTuple
 
-from ..core.data import Standing
+from ..core.data import HealthState
 from ..core.ids import TargetKey
 from .pool import SLOW_START_FOR, TRIALS_NEEDED
 
@@ -29,8 +29,8 @@
     """A target whose standing changed, and why."""
 
     target: TargetKey
-    old: Standing
-    new: Standing
+    old: HealthState
+    new: HealthState
     reason: str
 
 
@@ -64,12 +64,12 @@
     staying = [
         key
         for key, member in pool.members.items()
-        if member.standing is not Standing.LEAVING
+        if member.standing is not HealthState.LEAVING
     ]
     bad = [
         key
         for key in staying
-        if pool.members[key].standing in (Standing.EJECTED, Standing.TRIAL)
+        if pool.members[key].standing in (HealthState.EJECTED, HealthState.TRIAL)
         or evidence.score(key, now).total >= SUSPECT
     ]
     return len(staying) > 1 and len(bad) > SHARED_SHARE * len(staying)
@@ -91,7 +91,8 @@
     scored = [
         (evidence.score(key, now), key)
         for key, member in pool.members.items()
-        if member.standing in (Standing.GOOD, Standing.SLOW_START, Standing.TRIAL)
+        if member.standing
+        in (HealthState.GOOD, HealthState.SLOW_START, HealthState.TRIAL)
     ]
     convicted = sorted(
         (
@@ -103,7 +104,7 @@
     )
     changes = []
     for score, key in convicted:
-        is_warm = pool.members[key].standing is Standing.GOOD
+        is_warm = pool.members[key].standing is HealthState.GOOD
         if count_warm(pool) - is_warm < floor_of(pool):
             break
         reason = (
@@ -121,7 +122,7 @@
         member.ejections = 0
     pause = min(BACK_OFF_MOST, BACK_OFF * 2**member.ejections)
     member.ejections += 1
-    member.set_standing(Standing.EJECTED, now, reason)
+    member.set_standing(HealthState.EJECTED, now, reason)
     member.until = now + pause * rng.uniform(1.0, 1.5)
     member.trials = 0
     return Change(member.target.key, old, member.standing, reason)
@@ -131,7 +132,7 @@
     """Move an ejected target on towards good standing."""
     view = evidence.views.get(member.target.key)
     old = member.standing
-    if old is Standing.EJECTED:
+    if old is HealthState.EJECTED:
         if view and view.bad_at > member.since and not math.isinf(member.until):
             # Another host's trial has just failed; there is no need for one here.
             pause = BACK_OFF * 2 ** min(member.ejections, 6)
@@ -142,12 +143,12 @@
             return []
         member.trials = 0
         evidence.clear(member.target.key)
-        member.set_standing(Standing.TRIAL, now, "the back-off is over")
-    elif old is Standing.TRIAL and member.trials >= TRIALS_NEEDED:
+        member.set_standing(HealthState.TRIAL, now, "the back-off is over")
+    elif old is HealthState.TRIAL and member.trials >= TRIALS_NEEDED:
         evidence.clear(member.target.key)
-        member.set_standing(Standing.SLOW_START, now, f"{TRIALS_NEEDED} good trials")
-    elif old is Standing.SLOW_START and now - member.since >= SLOW_START_FOR:
-        member.set_standing(Standing.GOOD, now, "the slow start is over")
+        member.set_standing(HealthState.SLOW_START, now, f"{TRIALS_NEEDED} good trials")
+    elif old is HealthState.SLOW_START and now - member.since >= SLOW_START_FOR:
+        member.set_standing(HealthState.GOOD, now, "the slow start is over")
     else:
         return []
     return [Change(member.target.key, old, member.standing, member.reason)]
@@ -165,7 +166,7 @@
     Returns:
       A list of `Change`.
     """
-    if member.standing is not Standing.TRIAL:
+    if member.standing is not HealthState.TRIAL:
         return []
     if is_good:
         member.trials += 1
@@ -190,7 +191,7 @@
     out = [
         member
         for member in pool.members.values()
-        if member.standing in (Standing.EJECTED, Standing.TRIAL)
+        if member.standing in (HealthState.EJECTED, HealthState.TRIAL)
     ]
     out.sort(key=lambda member: (member.ejections, member.target.key), reverse=True)
     changes = []
@@ -198,13 +199,13 @@
         member = out.pop()
         old = member.standing
         evidence.clear(member.target.key)
-        member.set_standing(Standing.SLOW_START, now, "the floor needs it")
+        member.set_standing(HealthState.SLOW_START, now, "the floor needs it")
         changes.append(Change(member.target.key, old, member.standing, member.reason))
     return changes
 
 
 def _is_in(member):
-    return member.standing in (Standing.GOOD, Standing.SLOW_START)
+    return member.standing in (HealthState.GOOD, HealthState.SLOW_START)
 
 
 def count_in(pool):
@@ -214,13 +215,13 @@
 
 def count_warm(pool):
     """Return how many targets are in and past their slow start."""
-    return sum(member.standing is Standing.GOOD for member in pool.members.values())
+    return sum(member.standing is HealthState.GOOD for member in pool.members.values())
 
 
 def floor_of(pool):
     """Return the floor, or the number of targets that stay if they are fewer."""
     staying = sum(
-        member.standing is not Standing.LEAVING for member in pool.members.values()
+        member.standing is not HealthState.LEAVING for member in pool.members.values()
     )
     return min(pool.service.floor, staying)
 
@@ -239,10 +240,10 @@
     changes = []
     for key, member in pool.members.items():
         old = member.standing
-        if key in keys and old is not Standing.LEAVING:
-            member.set_standing(Standing.LEAVING, now, "the target is leaving")
-        elif key not in keys and old is Standing.LEAVING:
-            member.set_standing(Standing.SLOW_START, now, "the target stays")
+        if key in keys and old is not HealthState.LEAVING:
+            member.set_standing(HealthState.LEAVING, now, "the target is leaving")
+        elif key not in keys and old is HealthState.LEAVING:
+            member.set_standing(HealthState.SLOW_START, now, "the target stays")
         else:
             continue
         changes.append(Change(key, old, member.standing, member.reason))
--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
@@ -10,7 +10,7 @@
 import pytest
 from hypothesis import given, settings, strategies as st
 
-from ..core.data import RequestKind, Service, Sign, Standing, Target, Weighing
+from ..core.data import HealthState, RequestKind, Service, Sign, Target, Weighing
 from .ejection import (
     count_in,
     count_warm,
@@ -86,7 +86,9 @@
     bench.fail_everywhere(bench.keys[0], 2.0)
     assert bench.review(2.1) == []
     changes = bench.review(3.2)
-    assert [(c.target, c.new) for c in changes] == [(bench.keys[0], Standing.EJECTED)]
+    assert [(c.target, c.new) for c in changes] == [
+        (bench.keys[0], HealthState.EJECTED)
+    ]
 
 
 def test_one_host_cannot_convict_a_target_that_others_use():
@@ -113,7 +115,7 @@
         bench.evidence.note(bench.keys[0], Sign.FAILED, 20.0 + step)
     bench.review(24.0)
     bench.review(25.1)
-    assert bench.standing(0) is Standing.EJECTED
+    assert bench.standing(0) is HealthState.EJECTED
 
 
 def test_one_data_centre_cannot_convict_a_target_that_others_use():
@@ -140,7 +142,7 @@
             bench.tell(reporter, bench.keys[0], 2.0, good=5)
     assert bench.review(2.1) == []
     member = bench.pool.members[bench.keys[0]]
-    assert (member.standing, member.is_avoided) == (Standing.GOOD, True)
+    assert (member.standing, member.is_avoided) == (HealthState.GOOD, True)
     for _ in range(50):
         chosen = bench.pool.choose(RequestKind.IDEMPOTENT, 2.2, bench.rng)
         assert chosen is not member
@@ -187,7 +189,7 @@
         assert bench.review(now, is_dependency_failing=True) == []
     assert bench.pool.is_shared_fate
     assert [c.new for c in bench.review(4.3)] == []
-    assert [c.new for c in bench.review(5.4)] == [Standing.EJECTED]
+    assert [c.new for c in bench.review(5.4)] == [HealthState.EJECTED]
 
 
 def test_late_and_doubled_rows_change_nothing():
@@ -210,16 +212,16 @@
         bench.review(now + 1.1)
         bench.review(now + 2.2)
         member = bench.pool.members[bench.keys[0]]
-        assert member.standing is Standing.EJECTED
+        assert member.standing is HealthState.EJECTED
         pauses.append(member.until - member.since)
         now = member.until + 0.1
         bench.review(now)
-        assert member.standing is Standing.TRIAL
+        assert member.standing is HealthState.TRIAL
         for _ in range(3):
             note_trial(member, True, now, bench.rng)
         bench.review(now)
         bench.review(now + 10.1)
-        assert member.standing is Standing.GOOD
+        assert member.standing is HealthState.GOOD
         now += 10.2
     assert pauses == sorted(pauses)
     assert pauses[-1] > 4 * pauses[0]
@@ -228,7 +230,7 @@
 def test_trial_takes_one_idempotent_request_at_a_time_and_no_order():
     bench = Bench()
     member = bench.pool.members[bench.keys[0]]
-    member.set_standing(Standing.TRIAL, 1.0, "")
+    member.set_standing(HealthState.TRIAL, 1.0, "")
     assert bench.pool.choose(RequestKind.IDEMPOTENT, 2.0, bench.rng) is member
     bench.pool.take(member)
     for kind in RequestKind:
@@ -238,7 +240,7 @@
 def test_orders_go_only_to_targets_in_good_standing():
     bench = Bench()
     for key in bench.keys[:3]:
-        bench.pool.members[key].set_standing(Standing.SLOW_START, 1.0, "")
+        bench.pool.members[key].set_standing(HealthState.SLOW_START, 1.0, "")
     for _ in range(20):
         chosen = bench.pool.choose(RequestKind.ORDER, 2.0, bench.rng)
         assert chosen.target.key == bench.keys[3]
@@ -268,7 +270,7 @@
     service = bench.service._replace(targets=(fresh, *bench.service.targets[1:]))
     bench.pool.update(service, 4, 3.0)
     assert bench.evidence.score(fresh.key, 3.0).total == 0
-    assert bench.pool.members[fresh.key].standing is Standing.SLOW_START
+    assert bench.pool.members[fresh.key].standing is HealthState.SLOW_START
 
 
 ACTIONS = st.lists(
@@ -314,7 +316,7 @@
         before = count_warm(bench.pool)
         changes = bench.review(now)
         assert count_in(bench.pool) >= floor_of(bench.pool)
-        if any(change.new is Standing.EJECTED for change in changes):
+        if any(change.new is HealthState.EJECTED for change in changes):
             assert count_warm(bench.pool) >= min(before, floor)
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/waiting.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/waiting.py
@@ -10,7 +10,7 @@
 
 from returns.result import Failure, Success
 
-from plumsaddle_core.core.data import RequestKind, Standing
+from plumsaddle_core.core.data import HealthState, RequestKind
 from plumsaddle_core.core.reasons import Reason, refuse
 from plumsaddle_core.ops.pool import SHED_PAUSE
 from plumsaddle_core.ops.queue import Queue
@@ -96,7 +96,7 @@
         if slot is None:
             return None
         member = self.pool.members.get(slot.target)
-        is_good = member is not None and member.standing is Standing.GOOD
+        is_good = member is not None and member.standing is HealthState.GOOD
         if not is_good or slot.target in tried:
             slot.give_back(False)
             return None
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/probes.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/probes.py
@@ -7,7 +7,7 @@
 
 from multidict import CIMultiDict
 
-from plumsaddle_core.core.data import RequestKind, Standing
+from plumsaddle_core.core.data import HealthState, RequestKind
 
 from ..back.sender import Outgoing
 from ..back.tries import run_try
@@ -26,7 +26,7 @@
         if state.service.probe_path is None:
             continue
         for member in state.pool.members.values():
-            if member.standing is Standing.TRIAL and member.in_flight == 0:
+            if member.standing is HealthState.TRIAL and member.in_flight == 0:
                 state.pool.take(member)
                 host.spawn(_probe(host, state, member, now))
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -9,9 +9,9 @@
 import random
 
 from plumsaddle_core.core.data import (
+    HealthState,
     RequestKind,
     Sign,
-    Standing,
     Trouble,
 )
 from plumsaddle_core.ops.budget import Budget
@@ -57,7 +57,7 @@
 
     def start(self, begun, now):
         """Note a try, and return when it is to be given up, or None."""
-        begun.is_trial = self.pool.members[begun.target].standing is Standing.TRIAL
+        begun.is_trial = self.pool.members[begun.target].standing is HealthState.TRIAL
         self.tries.add(begun)
         overdue_after = self.latency.overdue_after()
         is_last = len(begun.request.tried) + 1 >= TRIES_MOST
@@ -107,7 +107,10 @@
 
     def _keep(self, changes, now):
         for change in changes:
-            if change.new is Standing.EJECTED and change.old is not Standing.TRIAL:
+            if (
+                change.new is HealthState.EJECTED
+                and change.old is not HealthState.TRIAL
+            ):
                 self.ejections.append((now, change.target))
 
     def rows(self, now):
@@ -120,7 +123,7 @@
 
     def keys_in(self, now):
         """Return the targets that get ordinary work."""
-        out = (Standing.EJECTED, Standing.TRIAL, Standing.LEAVING)
+        out = (HealthState.EJECTED, HealthState.TRIAL, HealthState.LEAVING)
         return {k for k, m in self.pool.members.items() if m.standing not in out}
 
     def is_contended(self, now):
