--- a/packages/plumsaddle-core/plumsaddle_core/core/data.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/data.py
@@ -64,7 +64,7 @@
     FAILED = "failed"
 
 
-class Trouble(enum.Enum):
+class FailureKind(enum.Enum):
     """How a try at a target went wrong."""
 
     CONNECT = "connect"
--- a/packages/plumsaddle-core/plumsaddle_core/ops/signs.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/signs.py
@@ -6,17 +6,17 @@
 callers make them, so their time is not compared.
 """
 
-from ..core.data import RequestKind, Sign, Trouble
+from ..core.data import FailureKind, RequestKind, Sign
 
 BLAMED = {
-    Trouble.CONNECT,
-    Trouble.BROKEN,
-    Trouble.OVERDUE,
-    Trouble.STALLED,
-    Trouble.UNFRAMED,
-    Trouble.ERROR,
+    FailureKind.CONNECT,
+    FailureKind.BROKEN,
+    FailureKind.OVERDUE,
+    FailureKind.STALLED,
+    FailureKind.UNFRAMED,
+    FailureKind.ERROR,
 }
-BLAMELESS = {Trouble.SHED, Trouble.CALLER}
+BLAMELESS = {FailureKind.SHED, FailureKind.CALLER}
 
 
 def sign_of_end(kind, trouble, seconds, latency):
@@ -25,7 +25,7 @@
 
     Args:
       kind: The request's `RequestKind`.
-      trouble: A `Trouble`, or None after a whole answer.
+      trouble: A `FailureKind`, or None after a whole answer.
       seconds: How long the try took.
       latency: The `Latency` of the service for this kind.
     Returns:
@@ -35,7 +35,7 @@
         return None
     if trouble in BLAMED:
         return Sign.FAILED
-    if trouble is Trouble.DEADLINE:
+    if trouble is FailureKind.DEADLINE:
         return sign_of_age(kind, seconds, latency)
     return Sign.SLOW if _is_slow(kind, seconds, latency) else Sign.GOOD
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/sender.py
@@ -18,13 +18,13 @@
 from returns.result import Failure, Success
 from yarl import URL
 
-from plumsaddle_core.core.data import Trouble
+from plumsaddle_core.core.data import FailureKind
 
 
 class FailedTry(NamedTuple):
     """A failed try; `is_unsent` only where no byte can have reached the target."""
 
-    kind: Trouble
+    kind: FailureKind
     detail: str
     is_unsent: bool = False
 
@@ -140,12 +140,12 @@
 def _timeout_trouble(outgoing, scope, progress):
     """Return whether the deadline passed, the target stalled or the caller did."""
     if progress.is_caller_slow:
-        return FailedTry(Trouble.CALLER, "the caller stopped sending")
+        return FailedTry(FailureKind.CALLER, "the caller stopped sending")
     if scope.expired():
-        return FailedTry(Trouble.STALLED, "no progress")
+        return FailedTry(FailureKind.STALLED, "no progress")
     if outgoing.overdue_at is not None:
-        return FailedTry(Trouble.OVERDUE, "far slower than usual")
-    return FailedTry(Trouble.DEADLINE, "the deadline passed")
+        return FailedTry(FailureKind.OVERDUE, "far slower than usual")
+    return FailedTry(FailureKind.DEADLINE, "the deadline passed")
 
 
 async def _exchange(session, address, outgoing, service, progress):
@@ -161,9 +161,9 @@
             expect100=outgoing.expect_continue,
         )
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as exc:
-        return Failure(FailedTry(Trouble.CONNECT, _word(exc), is_unsent=True))
+        return Failure(FailedTry(FailureKind.CONNECT, _word(exc), is_unsent=True))
     except (aiohttp.ClientError, OSError) as exc:
-        kind = Trouble.CALLER if progress.is_caller_slow else Trouble.BROKEN
+        kind = FailureKind.CALLER if progress.is_caller_slow else FailureKind.BROKEN
         return Failure(FailedTry(kind, _word(exc)))
     progress.move()
     try:
@@ -178,14 +178,14 @@
     if _is_unframed(resp, outgoing.method) and not service.close_delimited:
         resp.close()
         detail = "the answer has neither a length nor chunks"
-        return Failure(FailedTry(Trouble.UNFRAMED, detail))
+        return Failure(FailedTry(FailureKind.UNFRAMED, detail))
     body = bytearray()
     while True:
         try:
             chunk = await resp.content.read(CHUNK)
         except (aiohttp.ClientError, OSError) as exc:
             resp.close()
-            return Failure(FailedTry(Trouble.BROKEN, _word(exc)))
+            return Failure(FailedTry(FailureKind.BROKEN, _word(exc)))
         if not chunk:
             resp.close()
             return Success(Answer(resp.status, resp.headers, bytes(body)))
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/sender_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/sender_test.py
@@ -12,7 +12,7 @@
 import pytest
 from multidict import CIMultiDict
 
-from plumsaddle_core.core.data import Service, Target, Trouble
+from plumsaddle_core.core.data import FailureKind, Service, Target
 
 from .sender import Outgoing, Progress, make_session, send
 
@@ -172,7 +172,7 @@
         counter.append(1)
 
     result = ask(close_at_once, method="PUT")
-    assert result.failure().kind is Trouble.BROKEN
+    assert result.failure().kind is FailureKind.BROKEN
     assert not result.failure().is_unsent
     assert len(counter) == 1
 
@@ -197,7 +197,7 @@
 @pytest.mark.parametrize("name", HALVES)
 def test_half_answers_are_broken(name):
     result = ask(write_and_close(HALVES[name]))
-    assert result.failure().kind is Trouble.BROKEN
+    assert result.failure().kind is FailureKind.BROKEN
 
 
 UNFRAMED = b"HTTP/1.1 200 OK\r\n\r\nhalf of the ans"
@@ -211,7 +211,7 @@
     target died half way. The library can't tell.
     """
     result = ask(write_and_close(UNFRAMED))
-    assert result.failure().kind is Trouble.UNFRAMED
+    assert result.failure().kind is FailureKind.UNFRAMED
 
 
 def test_answer_without_a_length_passes_where_operators_allow_it():
@@ -225,7 +225,7 @@
         writer.write(HALVES["short body"])
         await asyncio.sleep(30)
 
-    assert ask(stall).failure().kind is Trouble.STALLED
+    assert ask(stall).failure().kind is FailureKind.STALLED
 
 
 def test_refused_connection_is_certainly_unsent():
@@ -234,7 +234,7 @@
             return await send_one(session, "127.0.0.1:9")
 
     trouble = asyncio.run(run()).failure()
-    assert trouble.kind is Trouble.CONNECT
+    assert trouble.kind is FailureKind.CONNECT
     assert trouble.is_unsent
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
@@ -7,7 +7,7 @@
 callers' time is up.
 """
 
-from plumsaddle_core.core.data import RequestKind, Sign, Trouble
+from plumsaddle_core.core.data import FailureKind, RequestKind, Sign
 from plumsaddle_core.ops.budget import Budget
 from plumsaddle_core.ops.ejection import note_trial
 from plumsaddle_core.ops.evidence import Evidence
@@ -74,11 +74,11 @@
 
         Args:
           ended: The `Try`.
-          trouble: A `Trouble`, or None after a whole answer.
+          trouble: A `FailureKind`, or None after a whole answer.
           now: The present, in seconds.
         """
         self.tries.discard(ended)
-        self.room.release(ended.member, trouble is Trouble.SHED)
+        self.room.release(ended.member, trouble is FailureKind.SHED)
         seconds = now - ended.started
         latency = self.latencies[ended.kind]
         if trouble is None and ended.kind is not RequestKind.UPLOAD:
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/tries.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/tries.py
@@ -12,7 +12,7 @@
 import aiohttp
 from returns.result import Failure, Success
 
-from plumsaddle_core.core.data import Trouble
+from plumsaddle_core.core.data import FailureKind
 
 from ..front.headers import LEAVING_STATES, TARGET_STATE
 from .sender import CHUNK, FailedTry, Progress, send
@@ -35,12 +35,12 @@
             async with asyncio.timeout(self.stall):
                 return Success(await self.resp.content.read(CHUNK))
         except TimeoutError:
-            return Failure(FailedTry(Trouble.STALLED, "no progress"))
+            return Failure(FailedTry(FailureKind.STALLED, "no progress"))
         except (aiohttp.ClientError, OSError) as exc:
-            return Failure(FailedTry(Trouble.BROKEN, type(exc).__name__))
+            return Failure(FailedTry(FailureKind.BROKEN, type(exc).__name__))
 
     def close(self, trouble):
-        """End the try; `trouble` is a `Trouble`, or None if it was whole."""
+        """End the try; `trouble` is a `FailureKind`, or None if it was whole."""
         self.resp.close()
         self.state.end_try(self.running, trouble, asyncio.get_running_loop().time())
 
@@ -70,7 +70,7 @@
         )
     except BaseException:
         # The caller went away; that says nothing about the target.
-        state.end_try(running, Trouble.CALLER, loop.time())
+        state.end_try(running, FailureKind.CALLER, loop.time())
         raise
     result = _find_shed(result, service)
     _end(host, state, running, result, loop.time())
@@ -87,7 +87,7 @@
         answer = result.unwrap()
         if answer.status in service.shed_status and answer.rest is None:
             detail = f"the target answered {answer.status}"
-            return Failure(FailedTry(Trouble.SHED, detail, is_unsent=True))
+            return Failure(FailedTry(FailureKind.SHED, detail, is_unsent=True))
     return result
 
 
@@ -98,7 +98,7 @@
         trouble = result.failure()
         host.metrics.tries.inc({"result": trouble.kind.value})
         state.end_try(running, trouble.kind, now)
-        if trouble.kind is not Trouble.SHED:
+        if trouble.kind is not FailureKind.SHED:
             log.debug("tries: %s gave %s, %s.", target.id, trouble.kind, trouble.detail)
         return
     answer = result.unwrap()
@@ -108,4 +108,4 @@
     if answer.rest is not None:
         return
     is_error = answer.status in SERVER_ERRORS
-    state.end_try(running, Trouble.ERROR if is_error else None, now)
+    state.end_try(running, FailureKind.ERROR if is_error else None, now)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/front/orders.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/front/orders.py
@@ -12,7 +12,7 @@
 
 from returns.result import Failure, Success
 
-from plumsaddle_core.core.data import Outcome, RequestKind, Trouble
+from plumsaddle_core.core.data import FailureKind, Outcome, RequestKind
 from plumsaddle_core.core.ids import ClaimId
 from plumsaddle_core.core.reasons import Reason, refuse
 from plumsaddle_core.ops.claims import Replay
@@ -130,7 +130,7 @@
             refusal = refuse_trouble(trouble, Outcome.UNKNOWN)
             return Failure(refusal._replace(retry_after=None))
         unsent += 1
-        if trouble.kind is not Trouble.SHED:
+        if trouble.kind is not FailureKind.SHED:
             tried += (member.target.key,)
         if not may_retry(state, trouble, len(tried), unsent):
             shard.deliver(shard.claims.finish_unsent(claim.claim))
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/front/plain.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/front/plain.py
@@ -10,7 +10,7 @@
 
 from returns.result import Failure, Success
 
-from plumsaddle_core.core.data import Outcome, RequestKind, Trouble
+from plumsaddle_core.core.data import FailureKind, Outcome, RequestKind
 from plumsaddle_core.core.reasons import Reason, Retry, refuse
 
 from ..back.sender import Outgoing, Progress
@@ -20,22 +20,22 @@
 TRIES_MOST = 3
 UNSENT_MOST = 40
 RETRY_WORDS = {
-    Trouble.CONNECT: Retry.CONNECT,
-    Trouble.SHED: Retry.SHED,
-    Trouble.BROKEN: Retry.BROKEN,
-    Trouble.UNFRAMED: Retry.BROKEN,
-    Trouble.STALLED: Retry.TIMEOUT,
-    Trouble.OVERDUE: Retry.TIMEOUT,
+    FailureKind.CONNECT: Retry.CONNECT,
+    FailureKind.SHED: Retry.SHED,
+    FailureKind.BROKEN: Retry.BROKEN,
+    FailureKind.UNFRAMED: Retry.BROKEN,
+    FailureKind.STALLED: Retry.TIMEOUT,
+    FailureKind.OVERDUE: Retry.TIMEOUT,
 }
 REASONS = {
-    Trouble.CONNECT: Reason.NO_TARGET,
-    Trouble.SHED: Reason.TARGETS_SHED,
-    Trouble.BROKEN: Reason.TARGET_FAILED,
-    Trouble.UNFRAMED: Reason.TARGET_FAILED,
-    Trouble.STALLED: Reason.TARGET_STALLED,
-    Trouble.OVERDUE: Reason.TARGET_STALLED,
-    Trouble.DEADLINE: Reason.DEADLINE,
-    Trouble.CALLER: Reason.UPLOAD_BROKEN,
+    FailureKind.CONNECT: Reason.NO_TARGET,
+    FailureKind.SHED: Reason.TARGETS_SHED,
+    FailureKind.BROKEN: Reason.TARGET_FAILED,
+    FailureKind.UNFRAMED: Reason.TARGET_FAILED,
+    FailureKind.STALLED: Reason.TARGET_STALLED,
+    FailureKind.OVERDUE: Reason.TARGET_STALLED,
+    FailureKind.DEADLINE: Reason.DEADLINE,
+    FailureKind.CALLER: Reason.UPLOAD_BROKEN,
 }
 
 
@@ -94,7 +94,7 @@
         trouble = result.failure()
         is_sent = is_sent or not trouble.is_unsent
         unsent += trouble.is_unsent
-        if trouble.kind is not Trouble.SHED:
+        if trouble.kind is not FailureKind.SHED:
             tried += (member.target.key,)
         if not may_retry(state, trouble, len(tried), unsent):
             outcome = Outcome.UNKNOWN if is_sent else Outcome.NOT_RUN
@@ -126,7 +126,7 @@
     """
     if trouble.kind not in RETRY_WORDS or unsent >= UNSENT_MOST:
         return False
-    if trouble.kind is Trouble.SHED:
+    if trouble.kind is FailureKind.SHED:
         return True
     if tried >= TRIES_MOST or state.pool.is_shared_fate:
         return False
@@ -196,7 +196,7 @@
         unsent += trouble.is_unsent
         if source.is_started:
             return Failure(_refuse_started(trouble, source))
-        if trouble.kind is not Trouble.SHED:
+        if trouble.kind is not FailureKind.SHED:
             tried += (member.target.key,)
         if not trouble.is_unsent or not may_retry(state, trouble, len(tried), unsent):
             return Failure(refuse_trouble(trouble))
--- a/packages/plumsaddle-standins/plumsaddle_standins/model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model.py
@@ -11,7 +11,7 @@
 import random
 from typing import NamedTuple
 
-from plumsaddle_core.core.data import Service, Target, Trouble, Weighing
+from plumsaddle_core.core.data import FailureKind, Service, Target, Weighing
 from plumsaddle_core.ops.keeper import Keeper
 from plumsaddle_core.ops.pool import SHED_PAUSE
 
@@ -240,21 +240,21 @@
         self.tries += 1
         self.sent.append((self.now, request.host, key, begun.is_trial))
         if (request.host, key) in self.cuts:
-            self.at(self.now + CONNECT_TIMEOUT, self._end, begun, Trouble.CONNECT)
+            self.at(self.now + CONNECT_TIMEOUT, self._end, begun, FailureKind.CONNECT)
             return
         target = self.targets[key]
         if target.busy >= target.slots:
             self.sheds += 1
-            self.at(self.now + 2 * HOP, self._end, begun, Trouble.SHED)
+            self.at(self.now + 2 * HOP, self._end, begun, FailureKind.SHED)
             return
         target.busy += 1
         begun.in_slot = True
         seconds = 2 * HOP + self.rng.expovariate(1 / self.shape.mean) * target.factor
         if target.mode != "stall":
             self.at(self.now + seconds, self._answer, begun)
-        until, trouble = request.deadline, Trouble.DEADLINE
+        until, trouble = request.deadline, FailureKind.DEADLINE
         if overdue is not None and overdue < until:
-            until, trouble = overdue, Trouble.OVERDUE
+            until, trouble = overdue, FailureKind.OVERDUE
         self.at(until, self._end, begun, trouble)
 
     # Targets.
@@ -263,9 +263,9 @@
         target = self.targets[begun.target]
         trouble = None
         if target.is_failing(self.now):
-            trouble = Trouble.ERROR
+            trouble = FailureKind.ERROR
         elif target.mode == "half":
-            trouble = Trouble.BROKEN
+            trouble = FailureKind.BROKEN
         self._end(begun, trouble)
 
     def _end(self, begun, trouble):
@@ -275,7 +275,7 @@
         if getattr(begun, "in_slot", False):
             self.targets[begun.target].busy -= 1
         if begun.grant is not None:
-            self._return(begun.grant, trouble is Trouble.SHED)
+            self._return(begun.grant, trouble is FailureKind.SHED)
         request = begun.request
         host = self.hosts[request.host]
         may_follow = host.end(begun, trouble, self.now)
@@ -284,9 +284,9 @@
             self.whole += 1
             self.latencies.append(self.now - request.deadline + DEADLINE)
             return
-        if trouble is not Trouble.SHED:
+        if trouble is not FailureKind.SHED:
             request.tried += (begun.target,)
-        is_over = trouble is Trouble.DEADLINE or len(request.tried) >= TRIES_MOST
+        is_over = trouble is FailureKind.DEADLINE or len(request.tried) >= TRIES_MOST
         if is_over or not may_follow:
             self.refused += 1
             return
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -9,10 +9,10 @@
 import random
 
 from plumsaddle_core.core.data import (
+    FailureKind,
     HealthState,
     RequestKind,
     Sign,
-    Trouble,
 )
 from plumsaddle_core.ops.budget import Budget
 from plumsaddle_core.ops.ejection import note_trial, review, suspects_itself
@@ -70,16 +70,18 @@
     def end(self, ended, trouble, now):
         """Take the end of a try and return whether another may follow."""
         self.tries.discard(ended)
-        self.pool.free(self.pool.members[ended.target], now, trouble is Trouble.SHED)
+        self.pool.free(
+            self.pool.members[ended.target], now, trouble is FailureKind.SHED
+        )
         seconds = now - ended.started
         if trouble is None:
             self.latency.note(seconds)
         sign = sign_of_end(KIND, trouble, seconds, self.latency)
         if sign is not None and sign is not ended.sign:
             self._note(ended, sign, now)
-        if trouble in (None, Trouble.SHED):
+        if trouble in (None, FailureKind.SHED):
             return True
-        is_cheap = trouble is Trouble.CONNECT
+        is_cheap = trouble is FailureKind.CONNECT
         return not self.pool.is_shared_fate and (is_cheap or self.budget.take())
 
     def _note(self, noted, sign, now):
@@ -164,7 +166,7 @@
 
     def end(self, ended, trouble, now):
         """Count failures in a row."""
-        if trouble is Trouble.SHED:
+        if trouble is FailureKind.SHED:
             return True
         if trouble is None:
             self.row[ended.target] = 0
--- a/packages/plumsaddle-standins/plumsaddle_standins/overload.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/overload.py
@@ -11,7 +11,7 @@
 import itertools
 import multiprocessing
 
-from plumsaddle_core.core.data import Trouble
+from plumsaddle_core.core.data import FailureKind
 from plumsaddle_core.ops import pool as pool_module
 
 from .measure import ARCHIVE, SONORE
@@ -30,7 +30,7 @@
     def end(self, ended, trouble, now):
         """Learn from the end of a try."""
         member = self.pool.members[ended.target]
-        if trouble is Trouble.SHED:
+        if trouble is FailureKind.SHED:
             member.limit = max(1, member.limit // 2)
             member.streak = 0
         elif trouble is None:
