--- a/packages/plumsaddle-core/plumsaddle_core/core/data.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/data.py
@@ -31,7 +31,7 @@
     UPLOAD = "upload"
 
 
-class Weighing(enum.Enum):
+class DetectionTradeoff(enum.Enum):
     """Which of the two measured errors a deployment would rather make."""
 
     FALSE_EJECTIONS = "false-ejections"
@@ -125,7 +125,7 @@
     connections: Annotated[int, Field(ge=1, le=100000)]
     targets: Annotated[tuple[Target, ...], Field(min_length=1)]
     depends_on: tuple[Name, ...] = ()
-    weighing: Weighing = Weighing.FALSE_EJECTIONS
+    weighing: DetectionTradeoff = DetectionTradeoff.FALSE_EJECTIONS
     shed_status: tuple[StatusCode, ...] = (429,)
     buffer_bytes: Annotated[int, Field(ge=0, le=16777216)] = 262144
     stall_timeout: Seconds = 10.0
--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
@@ -10,7 +10,14 @@
 import pytest
 from hypothesis import given, settings, strategies as st
 
-from ..core.data import HealthState, RequestKind, Service, Sign, Target, Weighing
+from ..core.data import (
+    DetectionTradeoff,
+    HealthState,
+    RequestKind,
+    Service,
+    Sign,
+    Target,
+)
 from .ejection import (
     count_in,
     count_warm,
@@ -41,7 +48,7 @@
 class Bench:
     """A pool with its evidence, as one host has them."""
 
-    def __init__(self, weighing=Weighing.DETECTION_TIME, **changes):
+    def __init__(self, weighing=DetectionTradeoff.DETECTION_TIME, **changes):
         self.service = make_service(weighing=weighing, **changes)
         self.pool = Pool(self.service, 4)
         self.evidence = Evidence(OWN, weighing, centre_of)
@@ -320,7 +327,7 @@
             assert count_warm(bench.pool) >= min(before, floor)
 
 
-@pytest.mark.parametrize("weighing", list(Weighing))
+@pytest.mark.parametrize("weighing", list(DetectionTradeoff))
 def test_healthy_target_is_not_ejected_by_usual_noise(weighing):
     rng = random.Random(3)
     bench = Bench(weighing)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
@@ -17,7 +17,7 @@
 import statistics
 from typing import NamedTuple
 
-from ..core.data import Weighing
+from ..core.data import DetectionTradeoff
 from ..core.ids import Incarnation, TargetKey
 
 FAIL_HEALTHY = 0.01
@@ -41,7 +41,10 @@
 
 # The bound of a sum, in natural logarithms of odds. On average exp(bound) healthy
 # signs go by before a sum reaches it by chance; docs/DESIGN.md gives the figures.
-THRESHOLDS = {Weighing.FALSE_EJECTIONS: 14.0, Weighing.DETECTION_TIME: 9.0}
+THRESHOLDS = {
+    DetectionTradeoff.FALSE_EJECTIONS: 14.0,
+    DetectionTradeoff.DETECTION_TIME: 9.0,
+}
 
 
 class Counts(NamedTuple):
--- a/packages/plumsaddle-standins/plumsaddle_standins/measure.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/measure.py
@@ -18,7 +18,7 @@
 import sys
 from typing import Any, NamedTuple
 
-from plumsaddle_core.core.data import Weighing
+from plumsaddle_core.core.data import DetectionTradeoff
 
 from .model import Model, Shape
 from .model_hosts import CENTRES, NaiveHost, OurHost
@@ -30,8 +30,8 @@
 PROCESSES = 4
 BAD = "t-0@10.0.0.0:80"
 
-ARCHIVE = Shape("raadpleging", 10, 4, 330, 7, 0.1, Weighing.FALSE_EJECTIONS)
-SONORE = Shape("ledger", 12, 2, 390, 8, 0.1, Weighing.DETECTION_TIME)
+ARCHIVE = Shape("raadpleging", 10, 4, 330, 7, 0.1, DetectionTradeoff.FALSE_EJECTIONS)
+SONORE = Shape("ledger", 12, 2, 390, 8, 0.1, DetectionTradeoff.DETECTION_TIME)
 
 
 class Scenario(NamedTuple):
--- a/packages/plumsaddle-standins/plumsaddle_standins/model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model.py
@@ -11,7 +11,7 @@
 import random
 from typing import NamedTuple
 
-from plumsaddle_core.core.data import FailureKind, Service, Target, Weighing
+from plumsaddle_core.core.data import DetectionTradeoff, FailureKind, Service, Target
 from plumsaddle_core.ops.keeper import Keeper
 from plumsaddle_core.ops.pool import SHED_PAUSE
 
@@ -37,7 +37,7 @@
     connections: int
     floor: int
     mean: float
-    weighing: Weighing
+    weighing: DetectionTradeoff
     hosts: int = 40
     load: float = 0.5
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_test.py
@@ -1,11 +1,13 @@
 """Ours against the naive version in the event model, small and with fixed seeds."""
 
-from plumsaddle_core.core.data import Weighing
+from plumsaddle_core.core.data import DetectionTradeoff
 
 from .model import Model, Shape
 from .model_hosts import NaiveHost, OurHost
 
-SHAPE = Shape("s", 6, 2, 390, 4, 0.1, Weighing.DETECTION_TIME, hosts=8, load=0.3)
+SHAPE = Shape(
+    "s", 6, 2, 390, 4, 0.1, DetectionTradeoff.DETECTION_TIME, hosts=8, load=0.3
+)
 BAD = "t-0@10.0.0.0:80"
 ONSET = 15.0
 END = 30.0
