--- a/packages/plumsaddle-core/plumsaddle_core/core/reasons.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/reasons.py
@@ -41,7 +41,7 @@
     STOPPING = "stopping"
 
 
-class Retry(enum.Enum):
+class RetryReason(enum.Enum):
     """Why a request was sent to another target."""
 
     CONNECT = "connect"
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/front/plain.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/front/plain.py
@@ -11,7 +11,7 @@
 from returns.result import Failure, Success
 
 from plumsaddle_core.core.data import FailureKind, Outcome, RequestKind
-from plumsaddle_core.core.reasons import Reason, Retry, refuse
+from plumsaddle_core.core.reasons import Reason, RetryReason, refuse
 
 from ..back.sender import Outgoing, Progress
 from ..back.tries import run_try
@@ -20,12 +20,12 @@
 TRIES_MOST = 3
 UNSENT_MOST = 40
 RETRY_WORDS = {
-    FailureKind.CONNECT: Retry.CONNECT,
-    FailureKind.SHED: Retry.SHED,
-    FailureKind.BROKEN: Retry.BROKEN,
-    FailureKind.UNFRAMED: Retry.BROKEN,
-    FailureKind.STALLED: Retry.TIMEOUT,
-    FailureKind.OVERDUE: Retry.TIMEOUT,
+    FailureKind.CONNECT: RetryReason.CONNECT,
+    FailureKind.SHED: RetryReason.SHED,
+    FailureKind.BROKEN: RetryReason.BROKEN,
+    FailureKind.UNFRAMED: RetryReason.BROKEN,
+    FailureKind.STALLED: RetryReason.TIMEOUT,
+    FailureKind.OVERDUE: RetryReason.TIMEOUT,
 }
 REASONS = {
     FailureKind.CONNECT: Reason.NO_TARGET,
