--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
@@ -15,7 +15,7 @@
 import asyncio
 import logging
 
-from plumsaddle_core.ops.suspects import RunNote
+from plumsaddle_core.ops.suspects import RunResult
 
 from .clock import now
 from .link import Unconnected
@@ -138,7 +138,7 @@
 
     def _blame(self, life, keys):
         for key in keys:
-            note = RunNote(key, life, True)
+            note = RunResult(key, life, True)
             self._knowledge.note_run(note)
             log.info(
                 "ended",
