--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -92,7 +92,7 @@
         return self.last_at + (REMEMBERED_FOR if is_light else 2 * self.held_for)
 
 
-class Suspects:
+class SuspectRequests:
     """All requests under which a target has ended lately, as one host knows them."""
 
     def __init__(self):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
@@ -18,7 +18,7 @@
     TOLD_FOR,
     TOLD_MOST,
     RunResult,
-    Suspects,
+    SuspectRequests,
 )
 
 
@@ -33,7 +33,7 @@
 
 
 def test_a_request_is_held_back_after_three_lives():
-    suspects = Suspects()
+    suspects = SuspectRequests()
     _end(suspects, "bad", "a", "b", "a", "b")
     assert suspects.held_for("bad", 1.0) == 0.0
     _end(suspects, "bad", "c")
@@ -48,7 +48,7 @@
     It runs beside a request that ends its targets, breaks, and is sent to the next
     target that the other one ends. It has been at three ends, the other one at four.
     """
-    suspects = Suspects()
+    suspects = SuspectRequests()
     _end(suspects, "bad", "a", "b", "c", "d")
     _end(suspects, "beside", "a", "b", "c")
     assert suspects.held_for("bad", 1.0) > 0.0
@@ -62,7 +62,7 @@
     All that ended under the second ended under the first as well, until that one is
     held back; then two ends are enough.
     """
-    suspects = Suspects()
+    suspects = SuspectRequests()
     _end(suspects, "one", "a", "b", "c", "d")
     _end(suspects, "two", "a", "b", "c")
     assert suspects.held_for("two", 1.0) == 0.0
@@ -77,7 +77,7 @@
     It ran at a target that a bad request ended, at one that another bad request ended,
     and at one that crashed by itself.
     """
-    suspects = Suspects()
+    suspects = SuspectRequests()
     _end(suspects, "one", "a", "r", "s", "t")
     _end(suspects, "two", "b", "u", "v", "w", "x")
     _end(suspects, "page", "a", "b", "c")
@@ -93,7 +93,7 @@
     Both are held back. Should only one of them have been known so far, the cause goes
     on for one target more, leads from then on, and frees the other.
     """
-    suspects = Suspects()
+    suspects = SuspectRequests()
     _end(suspects, "beside", "a", "b", "c")
     assert suspects.held_for("beside", 1.0) > 0.0
     _end(suspects, "bad", "a", "b", "c", "d")
@@ -107,7 +107,7 @@
 
     Three targets ended while it ran there, within ten minutes; others answered it.
     """
-    suspects = Suspects()
+    suspects = SuspectRequests()
     _end(suspects, "often", "a")
     _answer(suspects, "often", "x", "y")
     _end(suspects, "often", "b", "c")
@@ -117,7 +117,7 @@
 
 
 def test_an_answer_to_a_request_that_is_no_suspect_is_not_kept():
-    suspects = Suspects()
+    suspects = SuspectRequests()
     _answer(suspects, "good", "x")
     assert len(suspects) == 0
 
@@ -129,7 +129,7 @@
     After a while it is let through once; if it ends one more target, the next try is
     twice as late, and if it is answered it is free.
     """
-    suspects = Suspects()
+    suspects = SuspectRequests()
     _end(suspects, "bad", "a", "b", "c")
     at = HELD_FIRST
     assert suspects.held_for("bad", at) == 0.0
@@ -151,7 +151,7 @@
     A request ends one target after the other. Its lives are kept up to a number; one
     more was news to each host each time that it was told.
     """
-    suspects = Suspects()
+    suspects = SuspectRequests()
     for number in range(LIVES_MOST):
         _end(suspects, "bad", f"life-{number}")
     count = suspects.near_count
@@ -163,7 +163,7 @@
 
 
 def test_all_is_forgotten_in_time():
-    suspects = Suspects()
+    suspects = SuspectRequests()
     _end(suspects, "light", "a")
     _end(suspects, "bad", "b", "c", "d")
     suspects.note_stored("bad", ["b", "c", "d"], [], 0.0)
@@ -186,7 +186,7 @@
     A large target crashes, or a rack, and a thousand requests that ran there come in
     as suspects with one end each.
     """
-    suspects = Suspects()
+    suspects = SuspectRequests()
     _end(suspects, "bad", "a", "b", "c")
     for number in range(4 * KEYS_MOST):
         _end(suspects, f"flood-{number}", f"life-{number}", at=float(number))
@@ -209,7 +209,7 @@
     verdicts = set()
     for _ in range(50):
         rng.shuffle(notes)
-        suspects = Suspects()
+        suspects = SuspectRequests()
         for note in sorted(notes, key=lambda n: not n.has_ended):
             suspects.note(note, 0.0)
         verdicts.add(tuple(suspects.held_for(f"k{n}", 1.0) for n in (1, 2, 3, 4)))
@@ -217,7 +217,7 @@
 
 
 def test_notes_are_told_for_a_while_and_only_by_those_that_saw_them():
-    suspects = Suspects()
+    suspects = SuspectRequests()
     _end(suspects, "own", "a", is_own=True)
     _end(suspects, "near", "a")
     _end(suspects, "far", "a", is_near=False)
@@ -236,7 +236,7 @@
     Each writes down what it saw when a second target has ended there; then the other
     one's first end is the third.
     """
-    here, there = Suspects(), Suspects()
+    here, there = SuspectRequests(), SuspectRequests()
     _end(here, "bad", "a", is_own=True)
     assert here.to_store() == {}
     _end(here, "bad", "b", is_own=True)
@@ -255,7 +255,7 @@
     Two hosts write what they know at the same moment, and the newest replaces the
     other. The one whose ends are missing there writes both.
     """
-    one, two = Suspects(), Suspects()
+    one, two = SuspectRequests(), SuspectRequests()
     _end(one, "bad", "a", "b", is_own=True)
     _end(two, "bad", "c", "d", is_own=True)
     records = [one.to_store()["bad"], two.to_store()["bad"]]
@@ -272,7 +272,7 @@
 
 
 def test_an_operator_lets_a_request_go():
-    suspects = Suspects()
+    suspects = SuspectRequests()
     _end(suspects, "bad", "a", "b", "c", is_own=True)
     assert suspects.held_for("bad", 0.0) > 0.0
     suspects.drop("bad")
@@ -287,7 +287,7 @@
 
     Each request was at one target then, or at two with its second send.
     """
-    suspects = Suspects()
+    suspects = SuspectRequests()
     for number in range(200):
         lives = [f"life-{number + step}" for step in range(count)]
         _end(suspects, f"key-{number}", *lives)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -35,7 +35,7 @@
 from .floor import Results
 from .news import Counts, Evidence, Inbox, Outbox, OutcomeRecord, Sign, tag_of
 from .share import RetryShare
-from .suspects import Suspects
+from .suspects import SuspectRequests
 from .times import RouteTimes
 
 # Hosts beat once a second; three missed beats and a little is silence.
@@ -98,7 +98,7 @@
         self.paths = {}
         self._has_paths = has_paths
         self.times = RouteTimes()
-        self.suspects = Suspects()
+        self.suspects = SuspectRequests()
         self.quotas = Quotas() if quotas is None else quotas
         self.limits = limits or TargetLimits(Roster("", started, has_seeds=False))
         self._ratio = ratio
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored_test.py
@@ -8,7 +8,7 @@
 import msgspec
 from returns.result import Failure, Success
 
-from plumsaddle_core.ops.suspects import HELD_FIRST, RunResult, Suspects
+from plumsaddle_core.ops.suspects import HELD_FIRST, RunResult, SuspectRequests
 
 from ..platform.store import KeyedRecord, Page, StoreError
 from .clock import now
@@ -29,7 +29,7 @@
 
 
 def _make(*answers, is_reader=False):
-    suspects, store = Suspects(), ScriptedStore(*answers)
+    suspects, store = SuspectRequests(), ScriptedStore(*answers)
     gate = Gate(lambda at: None, lambda at: None, lambda at: None)
     gate.set_reader(is_reader)
     return StoredSuspects(store, suspects, gate), suspects, store
