--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -236,7 +236,7 @@
 
     # What follows from it.
 
-    def has_ended(self, life):
+    def has_crashed(self, life):
         """Return whether a life of a target has just ended under any request."""
         return life in self._ended_lives
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
@@ -167,9 +167,9 @@
     _end(suspects, "light", "a")
     _end(suspects, "bad", "b", "c", "d")
     suspects.note_stored("bad", ["b", "c", "d"], [], 0.0)
-    assert suspects.has_ended("a")
+    assert suspects.has_crashed("a")
     assert suspects.forget_old(ENDED_FOR) == []
-    assert suspects.has_ended("a") is False
+    assert suspects.has_crashed("a") is False
     assert "light" in suspects
     assert suspects.forget_old(REMEMBERED_FOR) == []
     assert "light" not in suspects
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
@@ -67,7 +67,7 @@
     def note_unanswered(self, target, key):
         """Take a send that was given up without an answer."""
         suspects = self._knowledge.zone.suspects
-        if suspects.has_ended(target.life) or target.life in self._restarted:
+        if suspects.has_crashed(target.life) or target.life in self._restarted:
             self._blame(target.life, [key])
             return
         if not self._knowledge.is_usable(target):
@@ -103,7 +103,7 @@
         over = self._restarted.items()
         self._restarted = {life: t for life, t in over if at - t < ASKED_FOR}
         suspects = self._knowledge.zone.suspects
-        for life in {life for life, _ in self._asked if suspects.has_ended(life)}:
+        for life in {life for life, _ in self._asked if suspects.has_crashed(life)}:
             self._blame(life, self._drop(life))
         self._log_held(at)
 
