--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -146,7 +146,7 @@
         self.near_count += is_near
         return True
 
-    def note_stored(self, key, ended, answered, now):
+    def add_stored(self, key, ended, answered, now):
         """
         Take what the platform's store says of a request.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
@@ -166,7 +166,7 @@
     suspects = SuspectRequests()
     _end(suspects, "light", "a")
     _end(suspects, "bad", "b", "c", "d")
-    suspects.note_stored("bad", ["b", "c", "d"], [], 0.0)
+    suspects.add_stored("bad", ["b", "c", "d"], [], 0.0)
     assert suspects.has_crashed("a")
     assert suspects.forget_old(ENDED_FOR) == []
     assert suspects.has_crashed("a") is False
@@ -242,7 +242,7 @@
     _end(here, "bad", "b", is_own=True)
     ended, answered = here.to_store()["bad"]
     assert (ended, answered) == (["a", "b"], [])
-    there.note_stored("bad", ended, answered, 0.0)
+    there.add_stored("bad", ended, answered, 0.0)
     assert there.held_for("bad", 0.0) == 0.0
     _end(there, "bad", "c", is_own=True)
     assert there.held_for("bad", 0.0) > 0.0
@@ -261,7 +261,7 @@
     records = [one.to_store()["bad"], two.to_store()["bad"]]
     for _ in range(4):
         for suspects, (ended, answered) in itertools.product((one, two), records):
-            suspects.note_stored("bad", ended, answered, 0.0)
+            suspects.add_stored("bad", ended, answered, 0.0)
         written = [s.to_store().get("bad") for s in (one, two)]
         records = [record for record in written if record is not None]
         if not records:
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored.py
@@ -67,7 +67,7 @@
         except (msgspec.DecodeError, UnicodeDecodeError) as exc:
             log.error("unusable", extra={"key": record.key, "cause": str(exc)})
             return
-        self._suspects.note_stored(record.key, known.ended, known.answered, now())
+        self._suspects.add_stored(record.key, known.ended, known.answered, now())
 
     def write_soon(self):
         """Write what the store does not say yet; a call that fails is made again."""
@@ -108,4 +108,4 @@
         for key, (ended, answered) in rows.items():
             if key in self._suspects:
                 last_at = self._suspects.last_at(key)
-                self._suspects.note_stored(key, ended, answered, last_at)
+                self._suspects.add_stored(key, ended, answered, last_at)
