--- a/packages/plumsaddle-standins/plumsaddle_standins/crashes.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/crashes.py
@@ -231,7 +231,9 @@
         key = request_key(method, path, [(b"host", HOST_NAME.encode())], b"")
         suspects = self._trial.hosts[host].knowledge.zone.suspects
         causes = {crash.target: crash.path for crash in self._trial.crashes}
-        return [causes.get(life.partition("~")[0]) for life in suspects.lives(key)]
+        return [
+            causes.get(life.partition("~")[0]) for life in suspects.crashed_lives(key)
+        ]
 
     # Troubles.
 
