--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -245,7 +245,7 @@
         suspect = self._suspects.get(key)
         return sorted(suspect.ended) if suspect is not None else []
 
-    def ended(self, key):
+    def crash_count(self, key):
         """Return how many lives of targets have ended under a request."""
         suspect = self._suspects.get(key)
         return len(suspect.ended) if suspect is not None else 0
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
@@ -113,7 +113,11 @@
         held = suspects.held(at)
         for key in held - self._held:
             held_for = round(suspects.held_for(key, at), 1)
-            fields = {"key": key, "lives": suspects.ended(key), "held_for": held_for}
+            fields = {
+                "key": key,
+                "lives": suspects.crash_count(key),
+                "held_for": held_for,
+            }
             log.info("holding back", extra=fields)
         for key in self._held - held:
             log.info("letting through", extra={"key": key})
@@ -146,7 +150,7 @@
                     "target": life,
                     "key": key,
                     "beside": len(keys) - 1,
-                    "lives": self._knowledge.zone.suspects.ended(key),
+                    "lives": self._knowledge.zone.suspects.crash_count(key),
                 },
             )
         if keys:
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -212,7 +212,7 @@
     hub = _hub(net, hosts[:3])
     _end_target(net, next(host for host in hosts[:3] if host[2] != hub))
     net.deliver()
-    assert [zone.suspects.ended("key") for _, zone, _ in hosts] == [1] * 6
+    assert [zone.suspects.crash_count("key") for _, zone, _ in hosts] == [1] * 6
 
 
 def test_an_end_is_told_again_to_hosts_that_did_not_hear_it(net):
@@ -228,10 +228,10 @@
     net.cut.add(deaf[2])
     _end_target(net, teller)
     net.play(1.2)
-    assert deaf[1].suspects.ended("key") == 0
+    assert deaf[1].suspects.crash_count("key") == 0
     net.cut.clear()
     net.play(1.2)
-    assert deaf[1].suspects.ended("key") == 1
+    assert deaf[1].suspects.crash_count("key") == 1
 
 
 def test_a_host_of_a_former_release_is_understood():
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored_test.py
@@ -57,9 +57,9 @@
     stored, suspects, _ = _make()
     broken = KeyedRecord(1, "x", b"\xff no record")
     stored.take(Page([broken, _record("a", "b", "c", offset=2)], 3))
-    assert suspects.ended("k") == 3
+    assert suspects.crash_count("k") == 3
     stored.take(Page([KeyedRecord(3, "k", None)], 4))
-    assert suspects.ended("k") == 0
+    assert suspects.crash_count("k") == 0
 
 
 def test_a_write_that_failed_is_made_again():
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
@@ -48,7 +48,7 @@
     @property
     def lives(self):
         """How many lives of targets are known to have ended under the request."""
-        return self._suspects.ended(self.key)
+        return self._suspects.crash_count(self.key)
 
     def held_for(self):
         """Return for how many seconds the request is held back, 0.0 if it is not."""
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_crash_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_crash_test.py
@@ -150,7 +150,7 @@
         key = next(iter(topic.newest))
         trial.store.put("keyed.suspects", key, b"")
         known = [host.knowledge.zone.suspects for host in trial.hosts]
-        await until(lambda: not any(suspects.ended(key) for suspects in known))
+        await until(lambda: not any(suspects.crash_count(key) for suspects in known))
         for host in (0, 1):
             status, _, _ = await trial.ask("/look/bad", f"again-{host}", host=host)
             assert status == 200
