--- a/packages/plumsaddle-core/plumsaddle_core/core/data.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/data.py
@@ -56,7 +56,7 @@
     UNKNOWN = "unknown"
 
 
-class Sign(enum.Enum):
+class HealthSignal(enum.Enum):
     """What one finished or overdue try says about its target."""
 
     GOOD = "good"
--- a/packages/plumsaddle-core/plumsaddle_core/ops/signs.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/signs.py
@@ -6,7 +6,7 @@
 callers make them, so their time is not compared.
 """
 
-from ..core.data import FailureKind, RequestKind, Sign
+from ..core.data import FailureKind, HealthSignal, RequestKind
 
 BLAMED = {
     FailureKind.CONNECT,
@@ -34,10 +34,10 @@
     if trouble in BLAMELESS:
         return None
     if trouble in BLAMED:
-        return Sign.FAILED
+        return HealthSignal.FAILED
     if trouble is FailureKind.DEADLINE:
         return sign_of_age(kind, seconds, latency)
-    return Sign.SLOW if _is_slow(kind, seconds, latency) else Sign.GOOD
+    return HealthSignal.SLOW if _is_slow(kind, seconds, latency) else HealthSignal.GOOD
 
 
 def sign_of_age(kind, seconds, latency):
@@ -57,8 +57,8 @@
     if kind is RequestKind.UPLOAD or overdue_after is None:
         return None
     if seconds > overdue_after:
-        return Sign.FAILED
-    return Sign.SLOW if _is_slow(kind, seconds, latency) else None
+        return HealthSignal.FAILED
+    return HealthSignal.SLOW if _is_slow(kind, seconds, latency) else None
 
 
 def _is_slow(kind, seconds, latency):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
@@ -7,7 +7,7 @@
 callers' time is up.
 """
 
-from plumsaddle_core.core.data import FailureKind, RequestKind, Sign
+from plumsaddle_core.core.data import FailureKind, HealthSignal, RequestKind
 from plumsaddle_core.ops.budget import Budget
 from plumsaddle_core.ops.ejection import note_trial
 from plumsaddle_core.ops.evidence import Evidence
@@ -115,12 +115,12 @@
 
     def _note(self, noted, sign, now):
         """Weigh a sign; of one try, only what is worse than before counts."""
-        if noted.sign is Sign.FAILED:
+        if noted.sign is HealthSignal.FAILED:
             return
         noted.sign = sign
         key = noted.member.target.key
         if key in self.pool.members:
             self.evidence.note(key, sign, now)
-            if sign is not Sign.GOOD and self.evidence.is_suspect(key, now):
+            if sign is not HealthSignal.GOOD and self.evidence.is_suspect(key, now):
                 self._has_bad_news = True
-            note_trial(noted.member, sign is Sign.GOOD, now, self._rng)
+            note_trial(noted.member, sign is HealthSignal.GOOD, now, self._rng)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/probes_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/probes_test.py
@@ -2,7 +2,7 @@
 
 import random
 
-from plumsaddle_core.core.data import RequestKind, Service, Sign, Target
+from plumsaddle_core.core.data import HealthSignal, RequestKind, Service, Target
 from plumsaddle_core.ops.signs import sign_of_end
 
 from ..back.services import ServiceState
@@ -31,7 +31,7 @@
         state.latencies[RequestKind.ORDER].note(0.02)
         state.latencies[RequestKind.IDEMPOTENT].note(0.2)
     kind = reference_kind(state)
-    assert sign_of_end(kind, None, 0.2, state.latencies[kind]) is Sign.SLOW
+    assert sign_of_end(kind, None, 0.2, state.latencies[kind]) is HealthSignal.SLOW
 
 
 def test_probe_of_a_service_without_latencies_counts_as_a_lookup():
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -10,9 +10,9 @@
 
 from plumsaddle_core.core.data import (
     FailureKind,
+    HealthSignal,
     HealthState,
     RequestKind,
-    Sign,
 )
 from plumsaddle_core.ops.budget import Budget
 from plumsaddle_core.ops.ejection import note_trial, review, suspects_itself
@@ -85,14 +85,16 @@
         return not self.pool.is_shared_fate and (is_cheap or self.budget.take())
 
     def _note(self, noted, sign, now):
-        if noted.sign is Sign.FAILED:
+        if noted.sign is HealthSignal.FAILED:
             return
         noted.sign = sign
         self.evidence.note(noted.target, sign, now)
-        if sign is not Sign.GOOD and self.evidence.is_suspect(noted.target, now):
+        if sign is not HealthSignal.GOOD and self.evidence.is_suspect(
+            noted.target, now
+        ):
             self.is_urgent = True
         member = self.pool.members[noted.target]
-        self._keep(note_trial(member, sign is Sign.GOOD, now, self.rng), now)
+        self._keep(note_trial(member, sign is HealthSignal.GOOD, now, self.rng), now)
 
     def watch(self, now):
         """Let overdue tries give their signs."""
--- a/packages/plumsaddle-standins/plumsaddle_standins/slopes.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/slopes.py
@@ -18,7 +18,7 @@
 import aiohttp
 from returns.result import Success
 
-from plumsaddle_core.core.data import DetectionTradeoff, Sign
+from plumsaddle_core.core.data import DetectionTradeoff, HealthSignal
 from plumsaddle_core.ops.anchor import Checkpoint, Record
 from plumsaddle_core.ops.evidence import Evidence, Row
 from plumsaddle_core.ops.members import Member, Members
@@ -102,7 +102,7 @@
         "me@1", DetectionTradeoff.FALSE_EJECTIONS, lambda host: host[-3]
     )
     for number in range(targets):
-        evidence.note(f"t-{number}", Sign.GOOD, 1.0)
+        evidence.note(f"t-{number}", HealthSignal.GOOD, 1.0)
         rows = [Row(f"host-{h}@1", f"t-{number}", 5, 0, 0) for h in range(40)]
         evidence.merge(rows, 1.0)
     return evidence
