--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -24,7 +24,7 @@
 from .parts import Feature
 
 
-class Kind(enum.Enum):
+class RequestKind(enum.Enum):
     """What may be done with a request that failed half way."""
 
     IDEMPOTENT = "idempotent"
@@ -34,7 +34,7 @@
     @property
     def may_repeat(self):
         """Whether a request of this kind may run more than once."""
-        return self is Kind.IDEMPOTENT
+        return self is RequestKind.IDEMPOTENT
 
 
 class TargetState(enum.Enum):
@@ -107,7 +107,7 @@
     name: str
     host: str
     prefix: str
-    kind: Kind
+    kind: RequestKind
     shares: tuple[Share, ...]
     tries_most: int
     timeout: float
--- a/packages/plumsaddle-core/plumsaddle_core/ops/attempt.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/attempt.py
@@ -31,7 +31,7 @@
     The sends of one request.
 
     Args:
-      kind: The request's `Kind`.
+      kind: The request's `RequestKind`.
       tries_most: To how many targets the request may be sent.
     """
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/attempt_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/attempt_test.py
@@ -10,7 +10,7 @@
     rule,
 )
 
-from ..core.traffic import Kind, SendOutcome
+from ..core.traffic import RequestKind, SendOutcome
 from .attempt import Attempt, Stage
 
 ENDS = [
@@ -36,13 +36,13 @@
 
     def __init__(self):
         super().__init__()
-        self.kind = Kind.ORDER
+        self.kind = RequestKind.ORDER
         self.attempt = Attempt(self.kind, 3)
         self.open = []
         self.history = []
         self.sent = 0
 
-    @rule(kind=st.sampled_from(Kind), tries=st.integers(1, 4))
+    @rule(kind=st.sampled_from(RequestKind), tries=st.integers(1, 4))
     @precondition(lambda self: self.sent == 0)
     def choose_kind(self, kind, tries):
         self.kind = kind
@@ -82,7 +82,7 @@
 
     @invariant()
     def what_must_not_repeat_is_sent_once_more_only_if_it_did_not_run(self):
-        if self.kind is not Kind.IDEMPOTENT and self._may_have_run():
+        if self.kind is not RequestKind.IDEMPOTENT and self._may_have_run():
             assert not self.attempt.may_send()
 
     @invariant()
--- a/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
@@ -14,7 +14,7 @@
 import enum
 from typing import NamedTuple
 
-from ..core.traffic import Kind, Target
+from ..core.traffic import RequestKind, Target
 
 # What filling all slots of a target costs against an empty one, in shares of a
 # request's value. It must outweigh the difference between a target that just proved
@@ -80,7 +80,7 @@
     the body and of its usual answer.
     """
 
-    kind: Kind
+    kind: RequestKind
     usual: float
     objective_left: float
     time_left: float
--- a/packages/plumsaddle-core/plumsaddle_core/ops/table_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/table_test.py
@@ -7,7 +7,7 @@
 
 from hypothesis import given, strategies as st
 
-from ..core.traffic import Kind, Route, Share
+from ..core.traffic import RequestKind, Route, Share
 from .table import build_table, choose_service, find_route
 
 PARTS = st.lists(st.sampled_from(["a", "b", "ab"]), max_size=4)
@@ -17,7 +17,7 @@
 
 
 def _route(prefix, shares=ONE_SERVICE):
-    kind = Kind.IDEMPOTENT
+    kind = RequestKind.IDEMPOTENT
     return Route(prefix, "Records.Example", prefix, kind, shares, 2, 1.0, 1.0, 0)
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ..core.traffic import Kind, Route, Share, Workspace
+from ..core.traffic import RequestKind, Route, Share, Workspace
 from .share import RetryShare
 from .urgency import (
     Rank,
@@ -17,7 +17,7 @@
 
 
 def _route(name, rank, service="s", is_public=False):
-    kind, shares = Kind.IDEMPOTENT, (Share(service, 1.0),)
+    kind, shares = RequestKind.IDEMPOTENT, (Share(service, 1.0),)
     return Route(name, "h", f"/{name}/", kind, shares, 2, 1.0, 1.0, rank, is_public)
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
@@ -4,7 +4,7 @@
 
 import random
 
-from ..core.traffic import Kind, Target, TargetState
+from ..core.traffic import RequestKind, Target, TargetState
 from .choice import Candidate, Demand, choose_target
 from .news import Counts, OutcomeRecord, PeerUpdate, Sign, tag_of
 from .share import SPENT_PART, RetryShare
@@ -208,7 +208,7 @@
     return Candidate(target, fails, in_flight, False, is_near)
 
 
-def _demand(kind=Kind.ORDER, kilobytes=1.0):
+def _demand(kind=RequestKind.ORDER, kilobytes=1.0):
     return Demand(kind, 0.3, 1.2, 2.0, kilobytes)
 
 
@@ -225,10 +225,10 @@
 def test_large_bodies_stay_near_unless_they_would_be_lost():
     near = _candidate("near", 0.3, 0)
     away = _candidate("away", 0.02, 0, is_near=False)
-    assert _chosen([near, away], _demand(Kind.UPLOAD, 60.0)) == "near"
-    assert _chosen([near, away], _demand(Kind.ORDER, 1.0)) == "away"
+    assert _chosen([near, away], _demand(RequestKind.UPLOAD, 60.0)) == "near"
+    assert _chosen([near, away], _demand(RequestKind.ORDER, 1.0)) == "away"
     lost = _candidate("near", 0.7, 0)
-    assert _chosen([lost, away], _demand(Kind.UPLOAD, 60.0)) == "away"
+    assert _chosen([lost, away], _demand(RequestKind.UPLOAD, 60.0)) == "away"
 
 
 def test_lost_hosts_are_trouble():
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
@@ -10,7 +10,7 @@
 from plumsaddle_core.core.traffic import (
     Bounds,
     HostSettings,
-    Kind,
+    RequestKind,
     Target,
     TargetState,
 )
@@ -20,7 +20,7 @@
 from .clock import now
 from .knowledge import Knowledge
 
-DEMAND = Demand(Kind.ORDER, 0.2, 0.6, 1.5, 1.0)
+DEMAND = Demand(RequestKind.ORDER, 0.2, 0.6, 1.5, 1.0)
 
 
 def _knowledge(count, off=frozenset({Feature.FLOOR_TRIALS})):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/wire.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/wire.py
@@ -12,8 +12,8 @@
 
 from plumsaddle_core.core.traffic import (
     Configuration,
-    Kind,
     Limits,
+    RequestKind,
     Route,
     Share,
     Target,
@@ -45,7 +45,11 @@
 TARGETS_TOPIC = "keyed.servers"
 CONFIGURATION_KEY = "config"
 
-KINDS = {"safe": Kind.IDEMPOTENT, "unsafe": Kind.ORDER, "upload": Kind.UPLOAD}
+KINDS = {
+    "safe": RequestKind.IDEMPOTENT,
+    "unsafe": RequestKind.ORDER,
+    "upload": RequestKind.UPLOAD,
+}
 # Figures beyond these are mistakes: a target with more slots is no one process, and
 # none warms up for a day. Later starts do not fit a timestamp.
 SLOTS_MOST = 100_000
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -28,7 +28,7 @@
 from typing import NamedTuple
 
 from plumsaddle_core.core.ids import ServiceName, TargetId
-from plumsaddle_core.core.traffic import Kind, Target, TargetState
+from plumsaddle_core.core.traffic import RequestKind, Target, TargetState
 from plumsaddle_core.ops.choice import Candidate, Demand, choose_target
 from plumsaddle_core.ops.floor import Trials
 from plumsaddle_core.ops.news import RemoteLoad, RemoteUpdate, Sign
@@ -277,7 +277,7 @@
     ]
     usual = zone.times.usual(SERVICE, ROUTE)
     work = model.shape.work
-    demand = Demand(Kind.ORDER, usual, OBJECTIVE * work, TIME_LIMIT * work, 1.0)
+    demand = Demand(RequestKind.ORDER, usual, OBJECTIVE * work, TIME_LIMIT * work, 1.0)
     choice = choose_target(candidates, demand, model.rng)
     return model.workers[choice.candidate.target.id], choice.load
 
