--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -22,7 +22,7 @@
 
 import msgspec
 
-from plumsaddle_core.core.parts import Feature
+from plumsaddle_core.core.features import Feature
 from plumsaddle_core.limits.named import ROWS_MOST
 from plumsaddle_core.ops.neighbours import Neighbours
 from plumsaddle_core.ops.pacing import Allowances
