--- a/packages/plumsaddle-core/plumsaddle_core/core/reasons.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/reasons.py
@@ -58,7 +58,7 @@
     title: str
 
 
-SHAPES = {
+PROBLEMS = {
     Reason.NO_CONFIGURATION: Shape(503, 2, "The host has no configuration yet"),
     Reason.BAD_PATH: Shape(400, None, "The path has dot segments"),
     Reason.NO_ROUTE: Shape(404, None, "No route matches the path"),
@@ -97,4 +97,4 @@
     Returns:
       A `Refusal` with the reason's usual pause.
     """
-    return Refusal(reason, outcome, detail, SHAPES[reason].retry_after)
+    return Refusal(reason, outcome, detail, PROBLEMS[reason].retry_after)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/front/answers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/front/answers.py
@@ -9,7 +9,7 @@
 
 from aiohttp import web
 
-from plumsaddle_core.core.reasons import SHAPES
+from plumsaddle_core.core.reasons import PROBLEMS
 
 from .headers import OUTCOME, REASON
 
@@ -25,7 +25,7 @@
     Returns:
       An `aiohttp.web.Response`.
     """
-    shape = SHAPES[refusal.reason]
+    shape = PROBLEMS[refusal.reason]
     body = {
         "type": TYPE_PREFIX + refusal.reason.value,
         "title": shape.title,
