--- a/packages/plumsaddle-core/plumsaddle_core/core/reasons.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/reasons.py
@@ -50,7 +50,7 @@
     TIMEOUT = "timeout"
 
 
-class Shape(NamedTuple):
+class Problem(NamedTuple):
     """The status of a reason and the usual pause in seconds, if any."""
 
     status: int
@@ -59,30 +59,30 @@
 
 
 PROBLEMS = {
-    Reason.NO_CONFIGURATION: Shape(503, 2, "The host has no configuration yet"),
-    Reason.BAD_PATH: Shape(400, None, "The path has dot segments"),
-    Reason.NO_ROUTE: Shape(404, None, "No route matches the path"),
-    Reason.METHOD_NOT_ALLOWED: Shape(405, None, "The route does not take the method"),
-    Reason.BAD_DEADLINE: Shape(400, None, "The request timeout is not a number"),
-    Reason.BAD_EXPECTATION: Shape(417, None, "The expectation is not supported"),
-    Reason.KEY_MISSING: Shape(400, None, "The order has no Idempotency-Key"),
-    Reason.KEY_MALFORMED: Shape(400, None, "The Idempotency-Key is not a UUIDv7"),
-    Reason.KEY_EXPIRED: Shape(410, None, "The Idempotency-Key is past its window"),
-    Reason.KEY_REUSED: Shape(422, None, "The key was used with another request"),
-    Reason.BODY_TOO_LARGE: Shape(413, None, "The request's body is too large"),
-    Reason.ORDER_RUNNING: Shape(409, 1, "The order is still running"),
-    Reason.ORDER_UNKNOWN: Shape(409, None, "The order's outcome is unknown"),
-    Reason.ORDER_RUN: Shape(409, None, "The order has run; its answer is not kept"),
-    Reason.ORDERS_INCOMPLETE: Shape(503, 5, "The order state is not complete yet"),
-    Reason.LOG_AWAY: Shape(503, 5, "The platform's log does not answer"),
-    Reason.QUEUE_FULL: Shape(503, 2, "The queue of the service is full"),
-    Reason.NO_TARGET: Shape(503, 2, "No target of the service can be used"),
-    Reason.TARGETS_SHED: Shape(503, 1, "The targets of the service are full"),
-    Reason.DEADLINE: Shape(504, 1, "The deadline passed"),
-    Reason.TARGET_FAILED: Shape(502, 1, "The target's answer broke off"),
-    Reason.TARGET_STALLED: Shape(504, 1, "The target made no progress"),
-    Reason.UPLOAD_BROKEN: Shape(502, None, "The upload broke off on the way"),
-    Reason.STOPPING: Shape(503, 1, "The host is stopping"),
+    Reason.NO_CONFIGURATION: Problem(503, 2, "The host has no configuration yet"),
+    Reason.BAD_PATH: Problem(400, None, "The path has dot segments"),
+    Reason.NO_ROUTE: Problem(404, None, "No route matches the path"),
+    Reason.METHOD_NOT_ALLOWED: Problem(405, None, "The route does not take the method"),
+    Reason.BAD_DEADLINE: Problem(400, None, "The request timeout is not a number"),
+    Reason.BAD_EXPECTATION: Problem(417, None, "The expectation is not supported"),
+    Reason.KEY_MISSING: Problem(400, None, "The order has no Idempotency-Key"),
+    Reason.KEY_MALFORMED: Problem(400, None, "The Idempotency-Key is not a UUIDv7"),
+    Reason.KEY_EXPIRED: Problem(410, None, "The Idempotency-Key is past its window"),
+    Reason.KEY_REUSED: Problem(422, None, "The key was used with another request"),
+    Reason.BODY_TOO_LARGE: Problem(413, None, "The request's body is too large"),
+    Reason.ORDER_RUNNING: Problem(409, 1, "The order is still running"),
+    Reason.ORDER_UNKNOWN: Problem(409, None, "The order's outcome is unknown"),
+    Reason.ORDER_RUN: Problem(409, None, "The order has run; its answer is not kept"),
+    Reason.ORDERS_INCOMPLETE: Problem(503, 5, "The order state is not complete yet"),
+    Reason.LOG_AWAY: Problem(503, 5, "The platform's log does not answer"),
+    Reason.QUEUE_FULL: Problem(503, 2, "The queue of the service is full"),
+    Reason.NO_TARGET: Problem(503, 2, "No target of the service can be used"),
+    Reason.TARGETS_SHED: Problem(503, 1, "The targets of the service are full"),
+    Reason.DEADLINE: Problem(504, 1, "The deadline passed"),
+    Reason.TARGET_FAILED: Problem(502, 1, "The target's answer broke off"),
+    Reason.TARGET_STALLED: Problem(504, 1, "The target made no progress"),
+    Reason.UPLOAD_BROKEN: Problem(502, None, "The upload broke off on the way"),
+    Reason.STOPPING: Problem(503, 1, "The host is stopping"),
 }
 
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -119,7 +119,7 @@
     One run.
 
     Args:
-      shape: The `Shape`.
+      shape: The `Problem`.
       make_way: A function that returns a way to choose for a data centre: given the
         model, the centre's number, a host's number and the present, it returns the
         worker to send to and its load.
--- a/packages/plumsaddle-standins/plumsaddle_standins/model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model.py
@@ -87,7 +87,7 @@
     One run.
 
     Args:
-      shape: The `Shape` of the service.
+      shape: The `Problem` of the service.
       make_host: `OurHost` or `NaiveHost`.
       seed: The seed of everything random in the run.
       bad: The keys of the targets that will truly fail.
