--- a/packages/plumsaddle-core/plumsaddle_core/core/reasons.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/reasons.py
@@ -30,7 +30,7 @@
     ORDER_UNKNOWN = "order-unknown"
     ORDER_RUN = "order-run"
     ORDERS_INCOMPLETE = "orders-incomplete"
-    LOG_AWAY = "log-away"
+    LOG_UNAVAILABLE = "log-away"
     QUEUE_FULL = "queue-full"
     NO_TARGET = "no-target"
     TARGETS_SHED = "targets-shed"
@@ -74,7 +74,7 @@
     Reason.ORDER_UNKNOWN: Problem(409, None, "The order's outcome is unknown"),
     Reason.ORDER_RUN: Problem(409, None, "The order has run; its answer is not kept"),
     Reason.ORDERS_INCOMPLETE: Problem(503, 5, "The order state is not complete yet"),
-    Reason.LOG_AWAY: Problem(503, 5, "The platform's log does not answer"),
+    Reason.LOG_UNAVAILABLE: Problem(503, 5, "The platform's log does not answer"),
     Reason.QUEUE_FULL: Problem(503, 2, "The queue of the service is full"),
     Reason.NO_TARGET: Problem(503, 2, "No target of the service can be used"),
     Reason.TARGETS_SHED: Problem(503, 1, "The targets of the service are full"),
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/shards.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/shards.py
@@ -109,7 +109,9 @@
         self._waiters.pop(claim.claim, None)
         if is_won is None:
             self.give_up(claim.claim)
-            return Failure(refuse(Reason.LOG_AWAY, "the claim is not in the log"))
+            return Failure(
+                refuse(Reason.LOG_UNAVAILABLE, "the claim is not in the log")
+            )
         return Success(is_won)
 
     def give_up(self, claim):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/front/orders.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/front/orders.py
@@ -61,7 +61,7 @@
     if known is not None:
         return known
     if shard.is_away():
-        return Failure(refuse(Reason.LOG_AWAY))
+        return Failure(refuse(Reason.LOG_UNAVAILABLE))
     claim = Claim(
         key.key,
         key.key_time,
