--- a/packages/plumsaddle-core/plumsaddle_core/core/reasons.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/reasons.py
@@ -28,7 +28,7 @@
     BODY_TOO_LARGE = "body-too-large"
     ORDER_RUNNING = "order-running"
     ORDER_UNKNOWN = "order-unknown"
-    ORDER_RUN = "order-run"
+    ORDER_ALREADY_RUN = "order-run"
     ORDERS_INCOMPLETE = "orders-incomplete"
     LOG_UNAVAILABLE = "log-away"
     QUEUE_FULL = "queue-full"
@@ -72,7 +72,9 @@
     Reason.BODY_TOO_LARGE: Problem(413, None, "The request's body is too large"),
     Reason.ORDER_RUNNING: Problem(409, 1, "The order is still running"),
     Reason.ORDER_UNKNOWN: Problem(409, None, "The order's outcome is unknown"),
-    Reason.ORDER_RUN: Problem(409, None, "The order has run; its answer is not kept"),
+    Reason.ORDER_ALREADY_RUN: Problem(
+        409, None, "The order has run; its answer is not kept"
+    ),
     Reason.ORDERS_INCOMPLETE: Problem(503, 5, "The order state is not complete yet"),
     Reason.LOG_UNAVAILABLE: Problem(503, 5, "The platform's log does not answer"),
     Reason.QUEUE_FULL: Problem(503, 2, "The queue of the service is full"),
--- a/packages/plumsaddle-core/plumsaddle_core/ops/claims.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/claims.py
@@ -86,7 +86,7 @@
         if entry.state is ClaimState.DONE:
             if entry.body is None:
                 detail = entry.detail or f"the target answered {entry.status}"
-                return refuse(Reason.ORDER_RUN, detail, Outcome.RUN)
+                return refuse(Reason.ORDER_ALREADY_RUN, detail, Outcome.RUN)
             return Replay(entry.status, entry.content_type, entry.body)
         if entry.state is ClaimState.UNKNOWN or self._is_orphan(entry):
             return refuse(Reason.ORDER_UNKNOWN, entry.detail, Outcome.UNKNOWN)
