--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -8,10 +8,10 @@
 from .news import (
     Counts,
     Evidence,
+    HealthSignal,
     OutcomeRecord,
     PeerUpdate,
     RemoteUpdate,
-    Sign,
     tag_of,
 )
 from .registry import Registry
@@ -41,7 +41,7 @@
     former, present = _target(1000), _target(2000)
     zone.start(former.life, 1.0)
     zone.take(_news(1, {former.life: 2}), 1.0)
-    zone.note(former.life, "look", "r", Sign.FAILED, 0.0, 1.0)
+    zone.note(former.life, "look", "r", HealthSignal.FAILED, 0.0, 1.0)
     assert zone.fails(former.life, 1.0) > 0.5
     assert zone.fails(present.life, 1.0) < 0.25
     assert zone.in_flight(present.life) == 0
@@ -59,7 +59,7 @@
     former, present = _target(1000), _target(2000)
     zone.forget_targets({present.life}, 10.0)
     before = zone.fails(present.life, 2.0)
-    zone.take(_news(1, {former.life: 1}, [(0, former.life, Sign.FAILED)]), 2.0)
+    zone.take(_news(1, {former.life: 1}, [(0, former.life, HealthSignal.FAILED)]), 2.0)
     zone.take_far(RemoteUpdate("far", 7, (Evidence(0, former.life, 35.0),), ()), 2.0)
     assert zone.fails(present.life, 2.0) == before
     assert zone.in_flight(present.life) == 0
--- a/packages/plumsaddle-core/plumsaddle_core/ops/news.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/news.py
@@ -20,7 +20,7 @@
 MAX_PENDING = 48
 
 
-class Sign(enum.Enum):
+class HealthSignal(enum.Enum):
     """
     What one send says about its target.
 
@@ -37,7 +37,7 @@
 
 
 # Outcomes that can wait to be told: they make no target look worse.
-DEFERRABLE_OUTCOMES = {Sign.WHOLE, Sign.LATE}
+DEFERRABLE_OUTCOMES = {HealthSignal.WHOLE, HealthSignal.LATE}
 
 
 class OutcomeRecord(NamedTuple):
@@ -47,7 +47,7 @@
     target: LifeId
     service: ServiceName
     route: str
-    sign: Sign
+    sign: HealthSignal
     seconds: float
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -33,7 +33,7 @@
 )
 from .elsewhere import Elsewhere
 from .floor import Results
-from .news import Counts, Evidence, Inbox, Outbox, OutcomeRecord, Sign, tag_of
+from .news import Counts, Evidence, HealthSignal, Inbox, Outbox, OutcomeRecord, tag_of
 from .share import RetryShare
 from .suspects import SuspectRequests
 from .times import RouteTimes
@@ -52,7 +52,7 @@
 # longer than any message is under way, so that none counts twice.
 FAR_FOR = 60.0
 # Ends at which nothing was heard of the target, so that the path may be the cause.
-SILENCES = {Sign.UNREACHABLE, Sign.STUCK}
+SILENCES = {HealthSignal.UNREACHABLE, HealthSignal.STUCK}
 # A path that is broken with this probability is not used for trials of its target.
 CUT_OFF_FROM = 0.2
 # An outcome is worth telling to other data centres if it moves the probability that
@@ -144,7 +144,7 @@
           target_id: The target's id.
           service: The target's service.
           route: The name of the request's route.
-          sign: The `Sign`.
+          sign: The `HealthSignal`.
           seconds: How long the send took.
           now: The present, in seconds.
         """
@@ -445,17 +445,17 @@
 
     def _ratio_of(self, outcome):
         """Return how much an outcome speaks for a failing target, as a ratio."""
-        if outcome.sign is Sign.WHOLE:
+        if outcome.sign is HealthSignal.WHOLE:
             self.times.note_whole(outcome.service, outcome.route, outcome.seconds)
             return WHOLE_RATIO
-        if outcome.sign is Sign.SHED:
+        if outcome.sign is HealthSignal.SHED:
             return rare_ratio(self.times.note_shed(outcome.service))
-        if outcome.sign is Sign.LATE:
+        if outcome.sign is HealthSignal.LATE:
             self.times.note_late(outcome.service, outcome.route, outcome.seconds)
             return 1.0
-        if outcome.sign is Sign.STUCK:
+        if outcome.sign is HealthSignal.STUCK:
             return rare_ratio(self.times.note_stuck(outcome.service, outcome.route))
-        if outcome.sign is Sign.FAILED:
+        if outcome.sign is HealthSignal.FAILED:
             return FAILED_RATIO
         return UNREACHABLE_RATIO
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
@@ -6,7 +6,7 @@
 
 from ..core.traffic import RequestKind, Target, TargetState
 from .choice import Candidate, Demand, choose_target
-from .news import Counts, OutcomeRecord, PeerUpdate, Sign, tag_of
+from .news import Counts, HealthSignal, OutcomeRecord, PeerUpdate, tag_of
 from .share import SPENT_PART, RetryShare
 from .times import USUAL_AT_FIRST
 from .zone import SILENT_AFTER, Zone
@@ -31,9 +31,9 @@
     Messages repeat the last outcomes, so that a lost one costs nothing.
     """
     zone, once = _zone(), _zone()
-    once.take(_news(1, [(0, "t", Sign.FAILED)]), 1.0)
+    once.take(_news(1, [(0, "t", HealthSignal.FAILED)]), 1.0)
     for number in range(1, 6):
-        zone.take(_news(number, [(0, "t", Sign.FAILED)]), 1.0)
+        zone.take(_news(number, [(0, "t", HealthSignal.FAILED)]), 1.0)
     assert zone.fails("t", 1.0) == once.fails("t", 1.0)
 
 
@@ -60,11 +60,11 @@
 
 def test_one_failure_convicts_and_time_or_an_answer_acquits():
     zone = _zone()
-    zone.note("t", "look", "r", Sign.FAILED, 0.001, 10.0)
+    zone.note("t", "look", "r", HealthSignal.FAILED, 0.001, 10.0)
     assert zone.fails("t", 10.0) > 0.6
     assert zone.fails("t", 30.0) < 0.3
-    zone.note("t", "look", "r", Sign.WHOLE, 0.3, 18.0)
-    zone.note("t", "look", "r", Sign.WHOLE, 0.3, 18.5)
+    zone.note("t", "look", "r", HealthSignal.WHOLE, 0.3, 18.0)
+    zone.note("t", "look", "r", HealthSignal.WHOLE, 0.3, 18.5)
     assert zone.fails("t", 18.5) < 0.15
 
 
@@ -76,12 +76,12 @@
     """
     zone = _zone()
     for number in range(40):
-        zone.note(f"t{number}", "look", "long", Sign.STUCK, 0.0, 1.0)
-        zone.note(f"u{number}", "look", "short", Sign.WHOLE, 0.3, 1.0)
+        zone.note(f"t{number}", "look", "long", HealthSignal.STUCK, 0.0, 1.0)
+        zone.note(f"u{number}", "look", "short", HealthSignal.WHOLE, 0.3, 1.0)
     before = zone.fails("sound", 1.0)
-    zone.note("sound", "look", "long", Sign.STUCK, 0.0, 1.0)
+    zone.note("sound", "look", "long", HealthSignal.STUCK, 0.0, 1.0)
     assert zone.fails("sound", 1.0) < before + 0.05
-    zone.note("hangs", "look", "short", Sign.STUCK, 0.0, 1.0)
+    zone.note("hangs", "look", "short", HealthSignal.STUCK, 0.0, 1.0)
     assert zone.fails("hangs", 1.0) > 0.5
 
 
@@ -91,9 +91,9 @@
     """
     zone = _zone()
     for number in range(100):
-        zone.note("t", "look", "short", Sign.WHOLE, 0.001, number)
+        zone.note("t", "look", "short", HealthSignal.WHOLE, 0.001, number)
         if number % 10 == 0:
-            zone.note("t", "look", "long", Sign.WHOLE, 0.4, number)
+            zone.note("t", "look", "long", HealthSignal.WHOLE, 0.4, number)
     assert zone.times.usual("look", "long") == 0.4
     assert zone.times.usual("look", "new") == 0.4
 
@@ -106,7 +106,7 @@
     """
     zone = _zone()
     for number in range(10):
-        zone.note("t", "look", "short", Sign.WHOLE, 0.003, number)
+        zone.note("t", "look", "short", HealthSignal.WHOLE, 0.003, number)
     assert zone.times.usual("look", "new") == USUAL_AT_FIRST
 
 
@@ -119,10 +119,10 @@
     """
     zone = _zone()
     for number in range(10):
-        zone.note("t", "look", "r", Sign.WHOLE, 0.003, number)
+        zone.note("t", "look", "r", HealthSignal.WHOLE, 0.003, number)
     for number in range(20):
-        zone.note("t", "look", "r", Sign.STUCK, 0.0, 10 + number)
-        zone.note("t", "look", "r", Sign.LATE, 0.4, 10 + number)
+        zone.note("t", "look", "r", HealthSignal.STUCK, 0.0, 10 + number)
+        zone.note("t", "look", "r", HealthSignal.LATE, 0.4, 10 + number)
     assert zone.times.usual("look", "r") == 0.4
 
 
@@ -134,12 +134,12 @@
     """
     zone = _zone()
     for number in range(30):
-        zone.note(f"t{number}", "look", "r", Sign.WHOLE, 0.3, 1.0)
-    zone.note("alone", "look", "r", Sign.SHED, 0.001, 1.0)
+        zone.note(f"t{number}", "look", "r", HealthSignal.WHOLE, 0.3, 1.0)
+    zone.note("alone", "look", "r", HealthSignal.SHED, 0.001, 1.0)
     assert zone.fails("alone", 1.0) > 0.5
     for _ in range(60):
-        zone.note("t1", "look", "r", Sign.SHED, 0.001, 1.0)
-    zone.note("one of many", "look", "r", Sign.SHED, 0.001, 1.0)
+        zone.note("t1", "look", "r", HealthSignal.SHED, 0.001, 1.0)
+    zone.note("one of many", "look", "r", HealthSignal.SHED, 0.001, 1.0)
     assert zone.fails("one of many", 1.0) < 0.25
 
 
@@ -263,9 +263,9 @@
     cut, other = _zone(), _zone()
     for number in range(12):
         at = number / 10
-        cut.note("t", "look", "r", Sign.UNREACHABLE, 0.3, at)
+        cut.note("t", "look", "r", HealthSignal.UNREACHABLE, 0.3, at)
         is_cut = number % 5 == 0
-        sign = Sign.UNREACHABLE if is_cut else Sign.WHOLE
+        sign = HealthSignal.UNREACHABLE if is_cut else HealthSignal.WHOLE
         other.take(_news(number, [(number, "t", sign)], host=f"h{number % 5}"), at)
     assert cut.fails("t", 1.2) > 0.7
     assert cut.is_cut_off("t", 1.2)
@@ -276,15 +276,15 @@
 def test_a_dead_target_is_known_after_three_silences_of_any_hosts():
     zone = _zone()
     for number in range(3):
-        news = _news(1, [(0, "t", Sign.UNREACHABLE)], host=f"h{number}")
+        news = _news(1, [(0, "t", HealthSignal.UNREACHABLE)], host=f"h{number}")
         zone.take(news, 1.0)
     assert zone.fails("t", 1.0) > 0.6
 
 
 def test_a_host_uses_a_path_again_when_it_has_healed():
     zone = _zone()
-    zone.note("t", "look", "r", Sign.UNREACHABLE, 0.3, 1.0)
+    zone.note("t", "look", "r", HealthSignal.UNREACHABLE, 0.3, 1.0)
     assert zone.is_cut_off("t", 2.0)
     assert not zone.is_cut_off("t", 20.0)
-    zone.note("t", "look", "r", Sign.WHOLE, 0.3, 2.0)
+    zone.note("t", "look", "r", HealthSignal.WHOLE, 0.3, 2.0)
     assert not zone.is_cut_off("t", 2.0)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -19,7 +19,7 @@
 from plumsaddle_core.limits.targets import TargetLimits
 from plumsaddle_core.ops.choice import Candidate, Demand, Rule, choose_target
 from plumsaddle_core.ops.floor import Trials
-from plumsaddle_core.ops.news import DEFERRABLE_OUTCOMES, Sign
+from plumsaddle_core.ops.news import DEFERRABLE_OUTCOMES, HealthSignal
 from plumsaddle_core.ops.registry import Registry
 from plumsaddle_core.ops.subset import (
     SMALL,
@@ -48,15 +48,15 @@
 ANSWER_AT_FIRST = 2000.0
 ANSWER_PART = 0.1
 SIGNS = {
-    SendOutcome.WHOLE: Sign.WHOLE,
-    SendOutcome.UNREACHED: Sign.UNREACHABLE,
+    SendOutcome.WHOLE: HealthSignal.WHOLE,
+    SendOutcome.UNREACHED: HealthSignal.UNREACHABLE,
     # Somebody else has the address, so the target is gone although it is still listed.
-    SendOutcome.WRONG_TARGET: Sign.UNREACHABLE,
-    SendOutcome.TIMED_OUT: Sign.STUCK,
-    SendOutcome.FAILED: Sign.FAILED,
-    SendOutcome.NOT_RUN: Sign.SHED,
-    SendOutcome.BROKEN: Sign.FAILED,
-    SendOutcome.UNSIGNED: Sign.FAILED,
+    SendOutcome.WRONG_TARGET: HealthSignal.UNREACHABLE,
+    SendOutcome.TIMED_OUT: HealthSignal.STUCK,
+    SendOutcome.FAILED: HealthSignal.FAILED,
+    SendOutcome.NOT_RUN: HealthSignal.SHED,
+    SendOutcome.BROKEN: HealthSignal.FAILED,
+    SendOutcome.UNSIGNED: HealthSignal.FAILED,
 }
 
 
@@ -423,7 +423,7 @@
 
     def note_late(self, target, route, seconds):
         """Take a whole answer to a send that was noted as unanswered for too long."""
-        self._note(target, route, Sign.LATE, seconds)
+        self._note(target, route, HealthSignal.LATE, seconds)
 
     def _note(self, target, route, sign, seconds):
         if sign is None:
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
@@ -15,7 +15,7 @@
     TargetState,
 )
 from plumsaddle_core.ops.choice import Demand, Rule
-from plumsaddle_core.ops.news import Sign
+from plumsaddle_core.ops.news import HealthSignal
 
 from .clock import now
 from .knowledge import Knowledge
@@ -62,7 +62,7 @@
     knowledge = _knowledge(200)
     kept_to = {target.id for target in knowledge._subset("act", _usable(knowledge), 1)}
     for target_id in kept_to:
-        knowledge.zone.note(target_id, "act", "r", Sign.FAILED, 0.0, now())
+        knowledge.zone.note(target_id, "act", "r", HealthSignal.FAILED, 0.0, now())
     assert _choose(knowledge)[0] not in kept_to
 
 
@@ -96,6 +96,6 @@
     for target_id in ("t0", "t1", "t2"):
         knowledge.zone.start(target_id, at)
     if is_cut_off:
-        knowledge.zone.note("t3", "act", "r", Sign.UNREACHABLE, 0.3, at)
+        knowledge.zone.note("t3", "act", "r", HealthSignal.UNREACHABLE, 0.3, at)
     chosen, rule = _choose(knowledge)
     assert (chosen == "t3" and rule is Rule.FLOOR_TRIAL) is not is_cut_off
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
@@ -11,12 +11,12 @@
 from plumsaddle_core.ops.news import (
     Counts,
     Evidence,
+    HealthSignal,
     OutcomeRecord,
     PeerUpdate,
     RemoteLoad,
     RemoteLoadTotal,
     RemoteUpdate,
-    Sign,
 )
 
 from ..platform.store import KeyedRecord
@@ -82,7 +82,7 @@
     life: Count
     number: Count
     in_flight: dict[int, Count]
-    outcomes: list[tuple[Count, str, str, str, Sign, Seconds]]
+    outcomes: list[tuple[Count, str, str, str, HealthSignal, Seconds]]
     counts: dict[str, tuple[Count, Count, Count, Count]]
     beat: Beat | None = None
     runs: list[RunRow] = []
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -31,7 +31,7 @@
 from plumsaddle_core.core.traffic import RequestKind, Target, TargetState
 from plumsaddle_core.ops.choice import Candidate, Demand, choose_target
 from plumsaddle_core.ops.floor import Trials
-from plumsaddle_core.ops.news import RemoteLoad, RemoteUpdate, Sign
+from plumsaddle_core.ops.news import HealthSignal, RemoteLoad, RemoteUpdate
 from plumsaddle_core.ops.zone import Zone
 
 SERVICE = ServiceName("orders")
@@ -205,7 +205,7 @@
         self.in_time += is_whole and at - started <= OBJECTIVE * self.shape.work
         zone = self.zones[centre]
         zone.end(worker.target.id)
-        sign = Sign.WHOLE if is_whole else Sign.FAILED
+        sign = HealthSignal.WHOLE if is_whole else HealthSignal.FAILED
         work = (at - started) / load
         zone.note(worker.target.id, SERVICE, ROUTE, sign, work, at)
         zone.note_end(SERVICE, is_whole, at)
@@ -329,7 +329,9 @@
         for outcome in zone.outcomes.last():
             ends = recent.setdefault(outcome.target, deque(maxlen=kept))
             if not ends or outcome.number > ends[-1][0]:
-                ends.append((outcome.number, at, outcome.sign is not Sign.WHOLE))
+                ends.append(
+                    (outcome.number, at, outcome.sign is not HealthSignal.WHOLE)
+                )
 
         def is_out(target_id):
             ends = recent.get(target_id, ())
--- a/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
@@ -22,7 +22,7 @@
 from typing import NamedTuple
 
 from plumsaddle_core.core.traffic import Bounds, HostSettings
-from plumsaddle_core.ops.news import Sign
+from plumsaddle_core.ops.news import HealthSignal
 from plumsaddle_core.ops.suspects import RunResult
 from plumsaddle_core.ops.zone import Zone
 from plumsaddle_hosts.edge import peers as module
@@ -208,7 +208,7 @@
     def _end(self, peers, zone, target, seconds):
         self._true[target] -= 1
         zone.end(target)
-        zone.note(target, "s", "r", Sign.WHOLE, seconds, self.at)
+        zone.note(target, "s", "r", HealthSignal.WHOLE, seconds, self.at)
         self._measure(peers.tell_soon, False)
 
     def _sample(self):
