--- a/packages/plumsaddle-core/plumsaddle_core/ops/belief.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/belief.py
@@ -74,7 +74,7 @@
 )
 
 
-class Belief:
+class FailureEstimator:
     """
     The probability that a target, or the path to it, is in its failing state.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -28,7 +28,7 @@
     SILENCE_MOST,
     UNREACHABLE_RATIO,
     WHOLE_RATIO,
-    Belief,
+    FailureEstimator,
     rare_ratio,
 )
 from .elsewhere import Elsewhere
@@ -411,7 +411,7 @@
     def _belief(self, target_id):
         belief = self.beliefs.get(target_id)
         if belief is None:
-            belief = self.beliefs[target_id] = Belief()
+            belief = self.beliefs[target_id] = FailureEstimator()
         return belief
 
     def _weigh(self, outcome, now):
@@ -440,7 +440,7 @@
         if path is None:
             if ratio < 1.0 or not self._has_paths:
                 return
-            path = self.paths[target_id] = Belief(PATH_SPELLS)
+            path = self.paths[target_id] = FailureEstimator(PATH_SPELLS)
         path.weigh(ratio, now)
 
     def _ratio_of(self, outcome):
@@ -460,5 +460,5 @@
         return UNREACHABLE_RATIO
 
 
-_UNKNOWN = Belief()
-_UNKNOWN_PATH = Belief(PATH_SPELLS)
+_UNKNOWN = FailureEstimator()
+_UNKNOWN_PATH = FailureEstimator(PATH_SPELLS)
