--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -58,7 +58,7 @@
 TOLD_MOST = 24
 
 
-class RunResult(NamedTuple):
+class RunRecord(NamedTuple):
     """What became of one life of a target that ran a request: it ended, or answered."""
 
     key: RequestKey
@@ -156,8 +156,8 @@
           answered: The lives that answered it.
           now: The present, in seconds.
         """
-        notes = [RunResult(key, life, True) for life in ended]
-        notes += [RunResult(key, life, False) for life in answered]
+        notes = [RunRecord(key, life, True) for life in ended]
+        notes += [RunRecord(key, life, False) for life in answered]
         # Not told on: each host hears it from the store.
         for note in notes:
             self.note(note, now, is_near=False)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
@@ -17,19 +17,19 @@
     REMEMBERED_FOR,
     TOLD_FOR,
     TOLD_MOST,
-    RunResult,
+    RunRecord,
     SuspectRequests,
 )
 
 
 def _end(suspects, key, *lives, at=0.0, **options):
     for life in lives:
-        suspects.note(RunResult(key, life, True), at, **options)
+        suspects.note(RunRecord(key, life, True), at, **options)
 
 
 def _answer(suspects, key, *lives, at=0.0):
     for life in lives:
-        suspects.note(RunResult(key, life, False), at)
+        suspects.note(RunRecord(key, life, False), at)
 
 
 def test_a_request_is_held_back_after_three_lives():
@@ -156,7 +156,7 @@
         _end(suspects, "bad", f"life-{number}")
     count = suspects.near_result_count
     for _ in range(3):
-        assert not suspects.note(RunResult("bad", "one more", True), 5.0)
+        assert not suspects.note(RunRecord("bad", "one more", True), 5.0)
     assert suspects.near_result_count == count
     # It has ended all the same, and the request is held for as long after it.
     assert suspects.held_for("bad", 5.0) == HELD_MOST
@@ -200,12 +200,12 @@
     """Hosts that learnt the same in another order refuse other requests."""
     rng = random.Random(7)
     notes = [
-        RunResult(key, life, rng.random() < 0.8)
+        RunRecord(key, life, rng.random() < 0.8)
         for key in ("k1", "k2", "k3", "k4")
         for life in rng.sample("abcdefgh", 5)
     ]
     # An answer is kept only of a request under which a life has ended.
-    notes += [RunResult(key, "z", True) for key in ("k1", "k2", "k3", "k4")]
+    notes += [RunRecord(key, "z", True) for key in ("k1", "k2", "k3", "k4")]
     verdicts = set()
     for _ in range(50):
         rng.shuffle(notes)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
@@ -15,7 +15,7 @@
 import asyncio
 import logging
 
-from plumsaddle_core.ops.suspects import RunResult
+from plumsaddle_core.ops.suspects import RunRecord
 
 from .clock import now
 from .link import Unconnected
@@ -142,7 +142,7 @@
 
     def _blame(self, life, keys):
         for key in keys:
-            note = RunResult(key, life, True)
+            note = RunRecord(key, life, True)
             self._knowledge.note_run(note)
             log.info(
                 "ended",
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
@@ -7,7 +7,7 @@
 import pytest
 
 from plumsaddle_core.core.traffic import Bounds, HostSettings, Target, TargetState
-from plumsaddle_core.ops.suspects import RunResult
+from plumsaddle_core.ops.suspects import RunRecord
 
 from .endings import ASKED_FOR, ASKED_MOST, Endings
 from .knowledge import Knowledge
@@ -139,7 +139,7 @@
         case.endings.note_broken(case.target, "a")
         await asyncio.sleep(0.01)
         assert case.ended("a") == 0
-        note = RunResult("b", case.target.life, True)
+        note = RunRecord("b", case.target.life, True)
         case.knowledge.zone.suspects.note(note, 0.0)
         case.endings.tick(0.0)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -17,7 +17,7 @@
     UNHEARD_FOR,
 )
 from plumsaddle_core.ops.news import HealthSignal, tag_of
-from plumsaddle_core.ops.suspects import RunResult
+from plumsaddle_core.ops.suspects import RunRecord
 from plumsaddle_core.ops.zone import Zone
 
 from ..platform.store import KeyedRecord, Page
@@ -197,7 +197,7 @@
 def _end_target(net, host):
     """Let a target end under a request of a host."""
     peers, zone, _ = host
-    note = RunResult("key", "life", True)
+    note = RunRecord("key", "life", True)
     zone.suspects.note(note, net.at, is_own=True)
     peers.tell_soon(is_urgent=True)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored_test.py
@@ -8,7 +8,7 @@
 import msgspec
 from returns.result import Failure, Success
 
-from plumsaddle_core.ops.suspects import HELD_FIRST, RunResult, SuspectRequests
+from plumsaddle_core.ops.suspects import HELD_FIRST, RunRecord, SuspectRequests
 
 from ..platform.store import KeyedRecord, Page, StoreError
 from .clock import now
@@ -72,7 +72,7 @@
     async def run():
         stored, suspects, store = _make(Failure(StoreError.AWAY), Success(b""))
         for life in ("a", "b"):
-            suspects.note(RunResult("k", life, True), now(), is_own=True)
+            suspects.note(RunRecord("k", life, True), now(), is_own=True)
         for _ in range(4):
             stored.write_soon()
             await asyncio.sleep(0.01)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
@@ -7,7 +7,7 @@
 from plumsaddle_core.core.features import Feature
 from plumsaddle_core.core.traffic import SendOutcome
 from plumsaddle_core.ops.attempt import Stage
-from plumsaddle_core.ops.suspects import RETRIED_MOST, RunResult
+from plumsaddle_core.ops.suspects import RETRIED_MOST, RunRecord
 
 from .clock import now
 from .outgoing import key_of
@@ -89,6 +89,6 @@
             self._endings.note_broken(target, self.key)
         elif fate in RAN:
             if len(self._suspects):
-                self._knowledge.note_run(RunResult(self.key, target.life, False))
+                self._knowledge.note_run(RunRecord(self.key, target.life, False))
         elif fate is None and self._attempt.stage is not Stage.ANSWERED:
             self._endings.note_unanswered(target, self.key)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -16,7 +16,7 @@
 from plumsaddle_core.limits.liveness import HostCount
 from plumsaddle_core.limits.named import LimitRow
 from plumsaddle_core.ops.news import DEFERRABLE_OUTCOMES
-from plumsaddle_core.ops.suspects import RunResult
+from plumsaddle_core.ops.suspects import RunRecord
 
 from ..utils.addresses import is_address
 from .messages import (
@@ -195,7 +195,7 @@
     def _take_runs(self, rows, is_near, at):
         """Take what became of targets under requests; return whether it was news."""
         suspects = self._zone.suspects
-        news = [suspects.note(RunResult(*row), at, is_near=is_near) for row in rows]
+        news = [suspects.note(RunRecord(*row), at, is_near=is_near) for row in rows]
         return any(news)
 
     def _take_limits(self, rows, host, is_near, at):
--- a/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
@@ -23,7 +23,7 @@
 
 from plumsaddle_core.core.traffic import Bounds, HostSettings
 from plumsaddle_core.ops.news import HealthSignal
-from plumsaddle_core.ops.suspects import RunResult
+from plumsaddle_core.ops.suspects import RunRecord
 from plumsaddle_core.ops.zone import Zone
 from plumsaddle_hosts.edge import peers as module
 from plumsaddle_hosts.edge.gate import Gate
@@ -155,7 +155,7 @@
         if has_hub_lost:
             self._lost.add(hub)
         peers, zone = self._hosts[address]
-        zone.suspects.note(RunResult("key", "life", True), self.at, is_own=True)
+        zone.suspects.note(RunRecord("key", "life", True), self.at, is_own=True)
         peers.tell_soon(is_urgent=True)
         begin = self.at
         while self.at - begin < SPREAD_MOST and not self._is_known_to_all():
