--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -99,7 +99,7 @@
         self._suspects = {}
         self._recent = deque()
         # How many notes hosts of the data centre have made, as far as is known.
-        self.near_result_count = 0
+        self.near_record_count = 0
         self._ended_lives = {}
         self._held = {}
         self._is_judged = True
@@ -143,7 +143,7 @@
         lives.add(note.life)
         self._is_judged = False
         self._recent.append((now, note, is_own, is_near))
-        self.near_result_count += is_near
+        self.near_record_count += is_near
         return True
 
     def add_stored(self, key, ended, answered, now):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
@@ -154,10 +154,10 @@
     suspects = SuspectRequests()
     for number in range(LIVES_MOST):
         _end(suspects, "bad", f"life-{number}")
-    count = suspects.near_result_count
+    count = suspects.near_record_count
     for _ in range(3):
         assert not suspects.note(RunRecord("bad", "one more", True), 5.0)
-    assert suspects.near_result_count == count
+    assert suspects.near_record_count == count
     # It has ended all the same, and the request is held for as long after it.
     assert suspects.held_for("bad", 5.0) == HELD_MOST
 
