--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -201,7 +201,7 @@
             self._recent.popleft()
         return self._recent
 
-    def own_results(self, now):
+    def own_records(self, now):
         """Return the `RunNote`s that this host saw lately, for its data centre."""
         recent = self._recent_since(now - TOLD_FOR)
         return [note for _, note, is_own, _ in recent if is_own][-TOLD_MOST:]
--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
@@ -221,12 +221,12 @@
     _end(suspects, "own", "a", is_own=True)
     _end(suspects, "near", "a")
     _end(suspects, "far", "a", is_near=False)
-    assert [n.key for n in suspects.own_results(1.0)] == ["own"]
+    assert [n.key for n in suspects.own_records(1.0)] == ["own"]
     assert [n.key for n in suspects.near_results(1.0)] == ["own", "near"]
-    assert suspects.own_results(TOLD_FOR) == []
+    assert suspects.own_records(TOLD_FOR) == []
     for number in range(2 * TOLD_MOST):
         _end(suspects, "own", f"l{number}", at=5.0, is_own=True)
-    assert len(suspects.own_results(5.0)) <= TOLD_MOST
+    assert len(suspects.own_records(5.0)) <= TOLD_MOST
 
 
 def test_the_store_is_told_from_the_second_end_on():
@@ -277,7 +277,7 @@
     assert suspects.held_for("bad", 0.0) > 0.0
     suspects.drop("bad")
     assert suspects.held_for("bad", 0.0) == 0.0
-    assert suspects.own_results(0.5) == []
+    assert suspects.own_records(0.5) == []
 
 
 @pytest.mark.parametrize("count", [1, ENDED_MOST - 1])
