--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -206,7 +206,7 @@
         recent = self._recent_since(now - TOLD_FOR)
         return [note for _, note, is_own, _ in recent if is_own][-TOLD_MOST:]
 
-    def near_results(self, now):
+    def near_records(self, now):
         """Return those that any host of the data centre saw lately, for the others."""
         recent = self._recent_since(now - TOLD_FOR)
         return [note for _, note, _, is_near in recent if is_near][-TOLD_MOST:]
--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
@@ -222,7 +222,7 @@
     _end(suspects, "near", "a")
     _end(suspects, "far", "a", is_near=False)
     assert [n.key for n in suspects.own_records(1.0)] == ["own"]
-    assert [n.key for n in suspects.near_results(1.0)] == ["own", "near"]
+    assert [n.key for n in suspects.near_records(1.0)] == ["own", "near"]
     assert suspects.own_records(TOLD_FOR) == []
     for number in range(2 * TOLD_MOST):
         _end(suspects, "own", f"l{number}", at=5.0, is_own=True)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -59,7 +59,7 @@
         """
         settings = self._settings
         suspects = self._zone.suspects
-        runs = [tuple(note) for note in suspects.near_results(at)]
+        runs = [tuple(note) for note in suspects.near_records(at)]
         self._runs_told = suspects.near_record_count
         evidence = [
             (e.number, e.target, round(e.ratio, 3)) for e in self._zone.evidence.take()
