--- a/packages/plumsaddle-core/plumsaddle_core/ops/news.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/news.py
@@ -28,7 +28,7 @@
     teaches how long the route takes, and does not undo what was told.
     """
 
-    WHOLE = 0
+    SUCCEEDED = 0
     FAILED = 1
     UNREACHABLE = 2
     STUCK = 3
@@ -37,7 +37,7 @@
 
 
 # Outcomes that can wait to be told: they make no target look worse.
-DEFERRABLE_OUTCOMES = {HealthSignal.WHOLE, HealthSignal.LATE}
+DEFERRABLE_OUTCOMES = {HealthSignal.SUCCEEDED, HealthSignal.LATE}
 
 
 class OutcomeRecord(NamedTuple):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -445,7 +445,7 @@
 
     def _ratio_of(self, outcome):
         """Return how much an outcome speaks for a failing target, as a ratio."""
-        if outcome.sign is HealthSignal.WHOLE:
+        if outcome.sign is HealthSignal.SUCCEEDED:
             self.times.note_whole(outcome.service, outcome.route, outcome.seconds)
             return WHOLE_RATIO
         if outcome.sign is HealthSignal.SHED:
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
@@ -63,8 +63,8 @@
     zone.note("t", "look", "r", HealthSignal.FAILED, 0.001, 10.0)
     assert zone.fails("t", 10.0) > 0.6
     assert zone.fails("t", 30.0) < 0.3
-    zone.note("t", "look", "r", HealthSignal.WHOLE, 0.3, 18.0)
-    zone.note("t", "look", "r", HealthSignal.WHOLE, 0.3, 18.5)
+    zone.note("t", "look", "r", HealthSignal.SUCCEEDED, 0.3, 18.0)
+    zone.note("t", "look", "r", HealthSignal.SUCCEEDED, 0.3, 18.5)
     assert zone.fails("t", 18.5) < 0.15
 
 
@@ -77,7 +77,7 @@
     zone = _zone()
     for number in range(40):
         zone.note(f"t{number}", "look", "long", HealthSignal.STUCK, 0.0, 1.0)
-        zone.note(f"u{number}", "look", "short", HealthSignal.WHOLE, 0.3, 1.0)
+        zone.note(f"u{number}", "look", "short", HealthSignal.SUCCEEDED, 0.3, 1.0)
     before = zone.fails("sound", 1.0)
     zone.note("sound", "look", "long", HealthSignal.STUCK, 0.0, 1.0)
     assert zone.fails("sound", 1.0) < before + 0.05
@@ -91,9 +91,9 @@
     """
     zone = _zone()
     for number in range(100):
-        zone.note("t", "look", "short", HealthSignal.WHOLE, 0.001, number)
+        zone.note("t", "look", "short", HealthSignal.SUCCEEDED, 0.001, number)
         if number % 10 == 0:
-            zone.note("t", "look", "long", HealthSignal.WHOLE, 0.4, number)
+            zone.note("t", "look", "long", HealthSignal.SUCCEEDED, 0.4, number)
     assert zone.times.usual("look", "long") == 0.4
     assert zone.times.usual("look", "new") == 0.4
 
@@ -106,7 +106,7 @@
     """
     zone = _zone()
     for number in range(10):
-        zone.note("t", "look", "short", HealthSignal.WHOLE, 0.003, number)
+        zone.note("t", "look", "short", HealthSignal.SUCCEEDED, 0.003, number)
     assert zone.times.usual("look", "new") == USUAL_AT_FIRST
 
 
@@ -119,7 +119,7 @@
     """
     zone = _zone()
     for number in range(10):
-        zone.note("t", "look", "r", HealthSignal.WHOLE, 0.003, number)
+        zone.note("t", "look", "r", HealthSignal.SUCCEEDED, 0.003, number)
     for number in range(20):
         zone.note("t", "look", "r", HealthSignal.STUCK, 0.0, 10 + number)
         zone.note("t", "look", "r", HealthSignal.LATE, 0.4, 10 + number)
@@ -134,7 +134,7 @@
     """
     zone = _zone()
     for number in range(30):
-        zone.note(f"t{number}", "look", "r", HealthSignal.WHOLE, 0.3, 1.0)
+        zone.note(f"t{number}", "look", "r", HealthSignal.SUCCEEDED, 0.3, 1.0)
     zone.note("alone", "look", "r", HealthSignal.SHED, 0.001, 1.0)
     assert zone.fails("alone", 1.0) > 0.5
     for _ in range(60):
@@ -265,7 +265,7 @@
         at = number / 10
         cut.note("t", "look", "r", HealthSignal.UNREACHABLE, 0.3, at)
         is_cut = number % 5 == 0
-        sign = HealthSignal.UNREACHABLE if is_cut else HealthSignal.WHOLE
+        sign = HealthSignal.UNREACHABLE if is_cut else HealthSignal.SUCCEEDED
         other.take(_news(number, [(number, "t", sign)], host=f"h{number % 5}"), at)
     assert cut.fails("t", 1.2) > 0.7
     assert cut.is_cut_off("t", 1.2)
@@ -286,5 +286,5 @@
     zone.note("t", "look", "r", HealthSignal.UNREACHABLE, 0.3, 1.0)
     assert zone.is_cut_off("t", 2.0)
     assert not zone.is_cut_off("t", 20.0)
-    zone.note("t", "look", "r", HealthSignal.WHOLE, 0.3, 2.0)
+    zone.note("t", "look", "r", HealthSignal.SUCCEEDED, 0.3, 2.0)
     assert not zone.is_cut_off("t", 2.0)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -246,10 +246,10 @@
     hub = _hub(net, hosts[:3])
     peers, zone, address = next(host for host in hosts[:3] if host[2] != hub)
     for _ in range(6):
-        zone.note("t", "act", "r", HealthSignal.WHOLE, 0.2, net.at)
+        zone.note("t", "act", "r", HealthSignal.SUCCEEDED, 0.2, net.at)
     peers.tell_soon(is_urgent=False)
     net.deliver()
-    zone.note("t", "act", "r", HealthSignal.WHOLE, 0.2, net.at)
+    zone.note("t", "act", "r", HealthSignal.SUCCEEDED, 0.2, net.at)
     peers.tell_soon(is_urgent=False)
     sent = []
     while net.sent or net._later:
@@ -470,7 +470,7 @@
     for _ in range(round(UNHEARD_FOR / HUB_EVERY) + 2):
         # The hub goes on telling all hosts of the others' work.
         for peers, zone, _ in others:
-            zone.note("u", "act", "r", HealthSignal.WHOLE, 0.2, net.at)
+            zone.note("u", "act", "r", HealthSignal.SUCCEEDED, 0.2, net.at)
             peers.tell_soon(is_urgent=False)
         net.play(HUB_EVERY)
     apart[1].start("t", net.at)
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -205,7 +205,7 @@
         self.in_time += is_whole and at - started <= OBJECTIVE * self.shape.work
         zone = self.zones[centre]
         zone.end(worker.target.id)
-        sign = HealthSignal.WHOLE if is_whole else HealthSignal.FAILED
+        sign = HealthSignal.SUCCEEDED if is_whole else HealthSignal.FAILED
         work = (at - started) / load
         zone.note(worker.target.id, SERVICE, ROUTE, sign, work, at)
         zone.note_end(SERVICE, is_whole, at)
@@ -330,7 +330,7 @@
             ends = recent.setdefault(outcome.target, deque(maxlen=kept))
             if not ends or outcome.number > ends[-1][0]:
                 ends.append(
-                    (outcome.number, at, outcome.sign is not HealthSignal.WHOLE)
+                    (outcome.number, at, outcome.sign is not HealthSignal.SUCCEEDED)
                 )
 
         def is_out(target_id):
--- a/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
@@ -208,7 +208,7 @@
     def _end(self, peers, zone, target, seconds):
         self._true[target] -= 1
         zone.end(target)
-        zone.note(target, "s", "r", HealthSignal.WHOLE, seconds, self.at)
+        zone.note(target, "s", "r", HealthSignal.SUCCEEDED, seconds, self.at)
         self._measure(peers.tell_soon, False)
 
     def _sample(self):
