--- a/packages/plumsaddle-core/plumsaddle_core/ops/belief.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/belief.py
@@ -87,7 +87,7 @@
         self._failing = spells.usual
         self._at = -math.inf
 
-    def failing(self, now):
+    def failing_probability(self, now):
         """Return the probability of the failing state by now."""
         usual = self._spells.usual
         if self._at == -math.inf:
@@ -97,7 +97,7 @@
 
     def fails(self, now):
         """Return the probability that a request sent now fails."""
-        failing = self.failing(now)
+        failing = self.failing_probability(now)
         spells = self._spells
         return failing * spells.fails_failing + (1.0 - failing) * spells.fails_sound
 
@@ -110,7 +110,7 @@
             one.
           now: The present, in seconds.
         """
-        failing = self.failing(now)
+        failing = self.failing_probability(now)
         odds = failing / (1.0 - failing) * ratio
         self._failing = min(MOST, odds / (1.0 + odds))
         self._at = now
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -392,11 +392,14 @@
 
     def is_cut_off(self, target_id, now):
         """Return whether this host's own path to a target is likely broken."""
-        return self.paths.get(target_id, _UNKNOWN_PATH).failing(now) >= CUT_OFF_FROM
+        return (
+            self.paths.get(target_id, _UNKNOWN_PATH).failing_probability(now)
+            >= CUT_OFF_FROM
+        )
 
     def failing(self, target_id, now):
         """Return the probability that a target is in its failing state."""
-        return self.beliefs.get(target_id, _UNKNOWN).failing(now)
+        return self.beliefs.get(target_id, _UNKNOWN).failing_probability(now)
 
     def forget_targets(self, known, now):
         """Forget what is kept of lives of targets that are no longer listed."""
