--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours.py
@@ -79,7 +79,7 @@
     avoided_until: float = 0.0
 
 
-class Neighbours:
+class PeerTable:
     """
     The hosts of the data centre that one host knows, by address.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
@@ -8,7 +8,7 @@
     HUB_SILENT_FOR,
     READER_LIVE_FOR,
     READERS,
-    Neighbours,
+    PeerTable,
     StoreStatus,
 )
 
@@ -18,7 +18,7 @@
 def _fleet(links=None):
     """Return the tables of hosts that all hear each other, by address."""
     links = links or {}
-    tables = {name: Neighbours(name, links.get(name)) for name in NAMES}
+    tables = {name: PeerTable(name, links.get(name)) for name in NAMES}
     _hear(tables, NAMES, 0.0, links)
     return tables
 
@@ -78,7 +78,7 @@
 
 
 def test_the_only_host_of_a_data_centre_does_all():
-    alone = Neighbours(NAMES[0], None)
+    alone = PeerTable(NAMES[0], None)
     assert not alone.pick_hub(1.0)
     assert alone.hub is None
     assert alone.is_reader(StoreStatus.TOLD, 1.0)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -24,7 +24,7 @@
 
 from plumsaddle_core.core.features import Feature
 from plumsaddle_core.limits.named import ROWS_MOST
-from plumsaddle_core.ops.neighbours import Neighbours
+from plumsaddle_core.ops.neighbours import PeerTable
 from plumsaddle_core.ops.pacing import Allowances
 
 from ..utils.addresses import split_address
@@ -105,7 +105,7 @@
         self._number = 0
         # When the last messages to the hub were sent, by number.
         self._sent_at = {}
-        self._neighbours = Neighbours(settings.peers, settings.link)
+        self._neighbours = PeerTable(settings.peers, settings.link)
         self._readers = Readers(gate, feeds, self._neighbours, self._send)
         self._others = OtherCentres(settings, zone, self._life, self._send, rng)
         self._collected = Collected()
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
@@ -22,7 +22,7 @@
     Args:
       gate: The `Gate` that tells how the host stands to the store.
       feeds: Each `Feed` of the host.
-      neighbours: The `Neighbours`.
+      neighbours: The `PeerTable`.
       send: Called with bytes and the addresses to send them to.
     """
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -66,7 +66,7 @@
     Args:
       settings: The `HostSettings`.
       zone: The `Zone` that this host's knowledge is kept in.
-      neighbours: The `Neighbours`.
+      neighbours: The `PeerTable`.
       readers: The `Readers`.
       others: The `OtherCentres`.
       collected: The `Collected`, which keeps what a hub tells on.
