--- a/packages/plumsaddle-core/plumsaddle_core/ops/belief.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/belief.py
@@ -95,7 +95,7 @@
         kept = math.exp(-max(0.0, now - self._at) / self._spells.settle)
         return usual + (self._failing - usual) * kept
 
-    def fails(self, now):
+    def failure_probability(self, now):
         """Return the probability that a request sent now fails."""
         failing = self.failing_probability(now)
         spells = self._spells
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -386,8 +386,8 @@
 
     def fails(self, target_id, now):
         """Return the probability that a send of this host's to a target fails."""
-        target_fails = self.beliefs.get(target_id, _UNKNOWN).fails(now)
-        path_fails = self.paths.get(target_id, _UNKNOWN_PATH).fails(now)
+        target_fails = self.beliefs.get(target_id, _UNKNOWN).failure_probability(now)
+        path_fails = self.paths.get(target_id, _UNKNOWN_PATH).failure_probability(now)
         return 1.0 - (1.0 - target_fails) * (1.0 - path_fails)
 
     def is_cut_off(self, target_id, now):
