--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -112,7 +112,7 @@
 
     # What is learnt.
 
-    def note(self, note, now, is_own=False, is_near=True):
+    def add(self, note, now, is_own=False, is_near=True):
         """
         Take a `RunNote`.
 
@@ -160,7 +160,7 @@
         notes += [RunRecord(key, life, False) for life in answered]
         # Not told on: each host hears it from the store.
         for note in notes:
-            self.note(note, now, is_near=False)
+            self.add(note, now, is_near=False)
         if key in self._suspects:
             self._suspects[key].stored = frozenset(ended) | frozenset(answered)
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
@@ -24,12 +24,12 @@
 
 def _end(suspects, key, *lives, at=0.0, **options):
     for life in lives:
-        suspects.note(RunRecord(key, life, True), at, **options)
+        suspects.add(RunRecord(key, life, True), at, **options)
 
 
 def _answer(suspects, key, *lives, at=0.0):
     for life in lives:
-        suspects.note(RunRecord(key, life, False), at)
+        suspects.add(RunRecord(key, life, False), at)
 
 
 def test_a_request_is_held_back_after_three_lives():
@@ -156,7 +156,7 @@
         _end(suspects, "bad", f"life-{number}")
     count = suspects.near_record_count
     for _ in range(3):
-        assert not suspects.note(RunRecord("bad", "one more", True), 5.0)
+        assert not suspects.add(RunRecord("bad", "one more", True), 5.0)
     assert suspects.near_record_count == count
     # It has ended all the same, and the request is held for as long after it.
     assert suspects.held_for("bad", 5.0) == HELD_MOST
@@ -211,7 +211,7 @@
         rng.shuffle(notes)
         suspects = SuspectRequests()
         for note in sorted(notes, key=lambda n: not n.has_ended):
-            suspects.note(note, 0.0)
+            suspects.add(note, 0.0)
         verdicts.add(tuple(suspects.held_for(f"k{n}", 1.0) for n in (1, 2, 3, 4)))
     assert len(verdicts) == 1
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -418,7 +418,7 @@
 
     def note_run(self, note):
         """Take a `RunNote` of this host's own."""
-        if self.zone.suspects.note(note, now(), is_own=True):
+        if self.zone.suspects.add(note, now(), is_own=True):
             self._tell(is_urgent=True)
 
     def note_late(self, target, route, seconds):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -198,7 +198,7 @@
     """Let a target end under a request of a host."""
     peers, zone, _ = host
     note = RunRecord("key", "life", True)
-    zone.suspects.note(note, net.at, is_own=True)
+    zone.suspects.add(note, net.at, is_own=True)
     peers.tell_soon(is_urgent=True)
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored_test.py
@@ -72,7 +72,7 @@
     async def run():
         stored, suspects, store = _make(Failure(StoreError.AWAY), Success(b""))
         for life in ("a", "b"):
-            suspects.note(RunRecord("k", life, True), now(), is_own=True)
+            suspects.add(RunRecord("k", life, True), now(), is_own=True)
         for _ in range(4):
             stored.write_soon()
             await asyncio.sleep(0.01)
--- a/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
@@ -155,7 +155,7 @@
         if has_hub_lost:
             self._lost.add(hub)
         peers, zone = self._hosts[address]
-        zone.suspects.note(RunRecord("key", "life", True), self.at, is_own=True)
+        zone.suspects.add(RunRecord("key", "life", True), self.at, is_own=True)
         peers.tell_soon(is_urgent=True)
         begin = self.at
         while self.at - begin < SPREAD_MOST and not self._is_known_to_all():
