--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -170,7 +170,7 @@
         self._recent = deque(row for row in self._recent if row[1].key != key)
         self._is_judged = False
 
-    def forget_old(self, now):
+    def evict_expired(self, now):
         """
         Forget what is too old.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
@@ -133,7 +133,7 @@
     _end(suspects, "bad", "a", "b", "c")
     at = HELD_FIRST
     assert suspects.held_for("bad", at) == 0.0
-    assert not suspects.forget_old(at)
+    assert not suspects.evict_expired(at)
     _end(suspects, "bad", "d", at=at)
     assert suspects.held_for("bad", at) == 2 * HELD_FIRST
     at += 2 * HELD_FIRST
@@ -168,14 +168,14 @@
     _end(suspects, "bad", "b", "c", "d")
     suspects.add_stored("bad", ["b", "c", "d"], [], 0.0)
     assert suspects.has_crashed("a")
-    assert suspects.forget_old(ENDED_FOR) == []
+    assert suspects.evict_expired(ENDED_FOR) == []
     assert suspects.has_crashed("a") is False
     assert "light" in suspects
-    assert suspects.forget_old(REMEMBERED_FOR) == []
+    assert suspects.evict_expired(REMEMBERED_FOR) == []
     assert "light" not in suspects
     assert "bad" in suspects
     # The store's record is not needed any more either.
-    assert suspects.forget_old(2 * HELD_FIRST) == ["bad"]
+    assert suspects.evict_expired(2 * HELD_FIRST) == ["bad"]
     assert len(suspects) == 0
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored.py
@@ -79,7 +79,7 @@
 
     def forget_old(self, at):
         """Forget what is too old, here and, as one of the readers, in the store."""
-        stored = self._suspects.forget_old(at)
+        stored = self._suspects.evict_expired(at)
         if stored and self._gate.is_reader and self._writing is None:
             self._start(self._store.put(TOPIC, dict.fromkeys(stored, b"")))
 
