--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -211,7 +211,7 @@
         recent = self._recent_since(now - TOLD_FOR)
         return [note for _, note, _, is_near in recent if is_near][-TOLD_MOST:]
 
-    def to_store(self):
+    def unsaved(self):
         """
         Return what the platform's store does not say yet and this host should write.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
@@ -238,9 +238,9 @@
     """
     here, there = SuspectRequests(), SuspectRequests()
     _end(here, "bad", "a", is_own=True)
-    assert here.to_store() == {}
+    assert here.unsaved() == {}
     _end(here, "bad", "b", is_own=True)
-    ended, answered = here.to_store()["bad"]
+    ended, answered = here.unsaved()["bad"]
     assert (ended, answered) == (["a", "b"], [])
     there.add_stored("bad", ended, answered, 0.0)
     assert there.held_for("bad", 0.0) == 0.0
@@ -258,11 +258,11 @@
     one, two = SuspectRequests(), SuspectRequests()
     _end(one, "bad", "a", "b", is_own=True)
     _end(two, "bad", "c", "d", is_own=True)
-    records = [one.to_store()["bad"], two.to_store()["bad"]]
+    records = [one.unsaved()["bad"], two.unsaved()["bad"]]
     for _ in range(4):
         for suspects, (ended, answered) in itertools.product((one, two), records):
             suspects.add_stored("bad", ended, answered, 0.0)
-        written = [s.to_store().get("bad") for s in (one, two)]
+        written = [s.unsaved().get("bad") for s in (one, two)]
         records = [record for record in written if record is not None]
         if not records:
             break
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored.py
@@ -73,7 +73,7 @@
         """Write what the store does not say yet; a call that fails is made again."""
         if self._writing is not None:
             return
-        rows = self._suspects.to_store()
+        rows = self._suspects.unsaved()
         if rows:
             self._start(self._write(rows))
 
