--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -254,7 +254,7 @@
         """Return for how many seconds a request is still held back, or 0.0."""
         return max(0.0, self._verdicts().get(key, -math.inf) - now)
 
-    def held(self, now):
+    def held_keys(self, now):
         """Return the keys of all requests that are held back."""
         return {key for key, until in self._verdicts().items() if until > now}
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
@@ -110,7 +110,7 @@
     def _log_held(self, at):
         """Log which requests are held back from now on, and which not any more."""
         suspects = self._knowledge.zone.suspects
-        held = suspects.held(at)
+        held = suspects.held_keys(at)
         for key in held - self._held:
             held_for = round(suspects.held_for(key, at), 1)
             fields = {
