--- a/packages/plumsaddle-core/plumsaddle_core/ops/belief.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/belief.py
@@ -101,7 +101,7 @@
         spells = self._spells
         return failing * spells.fails_failing + (1.0 - failing) * spells.fails_sound
 
-    def weigh(self, ratio, now):
+    def update(self, ratio, now):
         """
         Apply Bayes' rule.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -284,7 +284,7 @@
             self._used_at[tag_of(evidence.target)] = now
             # Some failures are seen from one side only, so what was seen elsewhere
             # counts half: two failures there weigh as much as one near by.
-            self._belief(evidence.target).weigh(math.sqrt(evidence.ratio), now)
+            self._belief(evidence.target).update(math.sqrt(evidence.ratio), now)
         return bool(fresh or news.used)
 
     def _take_counts(self, host, peer, counts, now):
@@ -431,7 +431,7 @@
             ratio = min(SILENCE_MOST, ratio)
         if ratio != 1.0:
             before = self.failing(outcome.target, now)
-            self._belief(outcome.target).weigh(ratio, now)
+            self._belief(outcome.target).update(ratio, now)
             if abs(self.failing(outcome.target, now) - before) >= SURPRISE:
                 number = self.evidence.count
                 self.evidence.add(Evidence(number, outcome.target, ratio))
@@ -444,7 +444,7 @@
             if ratio < 1.0 or not self._has_paths:
                 return
             path = self.paths[target_id] = FailureEstimator(PATH_SPELLS)
-        path.weigh(ratio, now)
+        path.update(ratio, now)
 
     def _ratio_of(self, outcome):
         """Return how much an outcome speaks for a failing target, as a ratio."""
