--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -233,7 +233,7 @@
         untold = self._take_untold(self._untold)
         return [known.own.row(tag, now) for tag, known in untold]
 
-    def near_rows(self, now):
+    def remote_rows(self, now):
         """Return the `QuotaRow`s for a message to the other data centres."""
         for tag in list(self._far_untold):
             if not self._is_near_limit(self._known[tag], now):
--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
@@ -142,7 +142,7 @@
     for _ in range(20):
         for speaker in (more, less):
             speaker._far_untold = dict.fromkeys(speaker._known, 1)
-            rows = speaker.near_rows(START)
+            rows = speaker.remote_rows(START)
             here.merge_remote("y", HostCount(2), rows, START)
     assert _ask(here, 50, START) >= 5
 
@@ -156,7 +156,7 @@
         _ask(host, 1, now, ONE)
         _ask(host, 1, now, big)
     assert len(host.own_rows(now)) == 2
-    assert len(host.near_rows(now)) == 1
+    assert len(host.remote_rows(now)) == 1
 
 
 def test_a_request_that_did_not_run_is_given_back():
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -94,7 +94,7 @@
             self._load_number,
             self._zone.load(),
             hosts=tuple(self._zone.quotas.hosts()),
-            quotas=[tuple(row) for row in self._zone.quotas.near_rows(at)],
+            quotas=[tuple(row) for row in self._zone.quotas.remote_rows(at)],
         )
         self._send_to_each(encode(load), at)
 
