--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -228,7 +228,7 @@
 
     # What is told.
 
-    def own_rows(self, now):
+    def local_rows(self, now):
         """Return the `QuotaRow`s for a message to the hosts of the data centre."""
         untold = self._take_untold(self._untold)
         return [known.own.row(tag, now) for tag, known in untold]
--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
@@ -33,7 +33,7 @@
 
 
 def _tell(sender, name, takers, now, life=1):
-    rows = sender.own_rows(now)
+    rows = sender.local_rows(now)
     for taker in takers:
         taker.merge_local(name, life, rows, now)
     return rows
@@ -57,7 +57,7 @@
     assert _ask(host, 5000, START, FREE) == 5000
     assert _ask(host, 5, START, None) == 5
     assert not host.kept
-    assert host.own_rows(START) == []
+    assert host.local_rows(START) == []
 
 
 def test_any_window_holds_the_rate_and_the_burst():
@@ -95,7 +95,7 @@
 def test_a_message_counts_once_however_often_it_comes():
     first, second = _hosts(2)
     _ask(first, 8, START)
-    rows = first.own_rows(START)
+    rows = first.local_rows(START)
     for _ in range(5):
         second.merge_local("host-0", 1, rows, START)
     assert 9 <= _ask(second, 50, START) <= 12
@@ -105,8 +105,8 @@
     first, second = _hosts(2)
     second.merge_local("host-0", 1, [], START)
     _ask(first, 10, START)
-    first.own_rows(START)
-    first.own_rows(START)
+    first.local_rows(START)
+    first.local_rows(START)
     _ask(first, 1, START)
     _tell(first, "host-0", [second], START)
     assert _ask(second, 50, START) <= 11
@@ -155,7 +155,7 @@
         now = START + 0.1 * step
         _ask(host, 1, now, ONE)
         _ask(host, 1, now, big)
-    assert len(host.own_rows(now)) == 2
+    assert len(host.local_rows(now)) == 2
     assert len(host.remote_rows(now)) == 1
 
 
@@ -164,7 +164,7 @@
     for _ in range(100):
         assert host.acquire(ONE, START).is_admitted
         host.release(ONE, START)
-    assert host.own_rows(START)[0].admitted == 0
+    assert host.local_rows(START)[0].admitted == 0
 
 
 def test_a_lower_limit_binds_at_once():
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -311,7 +311,7 @@
             counts,
             beat,
             [tuple(note) for note in self._zone.suspects.own_records(at)],
-            [tuple(row) for row in self._zone.quotas.own_rows(at)],
+            [tuple(row) for row in self._zone.quotas.local_rows(at)],
             [tuple(row) for row in self._limit_rows(beat)],
         )
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/quota_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/quota_model.py
@@ -331,7 +331,7 @@
 
     def _tell_near(self, number):
         self._push(NEAR_EVERY, self._tell_near, number)
-        self._tell_rows(number, self.hosts[number].quotas.own_rows(self.at))
+        self._tell_rows(number, self.hosts[number].quotas.local_rows(self.at))
 
     def _beat(self, number):
         self._push(1.0, self._beat, number)
--- a/packages/plumsaddle-standins/plumsaddle_standins/workspace_slopes.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/workspace_slopes.py
@@ -65,7 +65,7 @@
         now = turn / 92.0
         quotas.acquire(index[digest_of(read_key(pairs))], now)
         if turn % 9 == 0:
-            rows += len(quotas.own_rows(now))
+            rows += len(quotas.local_rows(now))
         if turn % 92 == 0:
             quotas.tick(now)
     spent = time.process_time() - spent
