--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -254,7 +254,7 @@
                 del untold[tag]
         return [(tag, self._known[tag]) for tag in tags]
 
-    def hosts(self):
+    def local_hosts(self):
         """Return the `HostCount` of this host's data centre, which others are told."""
         return self._liveness.local_hosts()
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -93,7 +93,7 @@
             self._life,
             self._load_number,
             self._zone.load(),
-            hosts=tuple(self._zone.quotas.hosts()),
+            local_hosts=tuple(self._zone.quotas.local_hosts()),
             quotas=[tuple(row) for row in self._zone.quotas.remote_rows(at)],
         )
         self._send_to_each(encode(load), at)
--- a/packages/plumsaddle-standins/plumsaddle_standins/quota_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/quota_model.py
@@ -371,7 +371,7 @@
         if not able or self.at < self._hub_until[centre]:
             return
         hub = self.hosts[able[0]].quotas
-        rows, hosts = hub.remote_rows(self.at), hub.hosts()
+        rows, hosts = hub.remote_rows(self.at), hub.local_hosts()
         self._rows += len(rows)
         for taker in every:
             if self._centre(taker) != centre and not self._is_lost(able[0], taker):
