--- a/packages/plumsaddle-core/plumsaddle_core/limits/named.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/named.py
@@ -147,7 +147,7 @@
         """Whether other data centres have not been told of some change."""
         return bool(self._far_pending)
 
-    def near_rows(self):
+    def local_rows(self):
         """Return the `LimitRow`s for a message to the hosts of the data centre."""
         return self._take(self._near_pending)
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/named_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/named_test.py
@@ -11,7 +11,7 @@
 
 def _exchange(hosts, now):
     """Let each host tell all others what it has to tell, until nobody has anything."""
-    while any(rows := [host.near_rows() for host in hosts]):
+    while any(rows := [host.local_rows() for host in hosts]):
         for teller, told in enumerate(rows):
             for number, host in enumerate(hosts):
                 for row in told if number != teller else ():
@@ -56,9 +56,9 @@
     _exchange([one, hub], 1.0)
     one.observe("t", None, sent_at=1.5, now=2.0)
     # Both messages that tell it are lost.
-    assert one.near_rows()
-    assert one.near_rows()
-    assert not one.near_rows()
+    assert one.local_rows()
+    assert one.local_rows()
+    assert not one.local_rows()
     for row in hub.repeated_rows(ROWS_MOST, random):
         assert not one.merge(row, True, 3.0)
     _exchange([one, hub], 3.0)
@@ -73,7 +73,7 @@
     limits.evict({"t~2"}, 10.0)
     limits.evict({"t~2"}, 10.0 + UNLISTED_FOR)
     assert not limits
-    assert not limits.near_rows()
+    assert not limits.local_rows()
     assert not limits.repeated_rows(ROWS_MOST, random)
 
 
@@ -92,7 +92,7 @@
     limits = NamedLimits()
     for number in range(ROWS_MOST + 5):
         limits.observe(f"t-{number}", 1.0, sent_at=0.0, now=1.0)
-    told = [row.life for _ in range(4) for row in limits.near_rows()]
+    told = [row.life for _ in range(4) for row in limits.local_rows()]
     assert sorted(told) == sorted([f"t-{n}" for n in range(ROWS_MOST + 5)] * 2)
     rng = random.Random(1)
     repeated = [row for _ in range(9) for row in limits.repeated_rows(ROWS_MOST, rng)]
@@ -124,7 +124,7 @@
     sent = []
     for at, (number, rate, is_told) in enumerate(events):
         hosts[number].observe("t", rate, sent_at=at - 0.1, now=float(at))
-        rows = hosts[number].near_rows()
+        rows = hosts[number].local_rows()
         if is_told:
             sent += rows
         rng.shuffle(sent)
@@ -143,4 +143,4 @@
     limits = NamedLimits()
     limits.observe("t", 2.0, sent_at=0.0, now=1.0)
     limits.observe("t", None, sent_at=2.0, now=3.0)
-    assert limits.near_rows() == [LimitRow("t", 2, NO_LIMIT)]
+    assert limits.local_rows() == [LimitRow("t", 2, NO_LIMIT)]
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -318,7 +318,7 @@
     def _limit_rows(self, beat):
         """Return targets' rate limits to tell: what changed, and at times others."""
         named = self._zone.limits.named
-        rows = named.near_rows()
+        rows = named.local_rows()
         if beat is not None:
             most = ROWS_MOST if self._picked_itself() else LIMITS_REPEATED
             rows += named.repeated_rows(most, self._rng)
--- a/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
@@ -282,7 +282,7 @@
     def _tell(self, host, delays):
         rows = []
         if self.way == "shared":
-            rows = host.limits.named.near_rows()
+            rows = host.limits.named.local_rows()
             rows += host.limits.named.repeated_rows(1, self.rng)
         counts, host.untold = host.untold, 0
         sent, host.unsummed = host.unsummed, {}
