--- a/packages/plumsaddle-core/plumsaddle_core/limits/named.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/named.py
@@ -151,7 +151,7 @@
         """Return the `LimitRow`s for a message to the hosts of the data centre."""
         return self._take(self._near_pending)
 
-    def far_rows(self):
+    def remote_rows(self):
         """Return the `LimitRow`s for a message to other data centres."""
         return self._take(self._far_pending)
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/named_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/named_test.py
@@ -104,7 +104,7 @@
     limits = NamedLimits()
     limits.merge(LimitRow("far", 1, 2.0), False, 1.0)
     limits.merge(LimitRow("near", 1, 2.0), True, 1.0)
-    assert [row.life for row in limits.far_rows()] == ["near"]
+    assert [row.life for row in limits.remote_rows()] == ["near"]
 
 
 @given(
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -76,7 +76,7 @@
     def _limit_rows(self, is_periodic):
         """Return targets' rate limits to tell: what changed, and at times others."""
         named = self._zone.limits.named
-        rows = named.far_rows()
+        rows = named.remote_rows()
         if is_periodic:
             rows += named.repeated_rows(LIMITS_REPEATED, self._rng)
         return [tuple(row) for row in rows]
