--- a/packages/plumsaddle-core/plumsaddle_core/limits/named.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/named.py
@@ -143,7 +143,7 @@
     # What is gossiped.
 
     @property
-    def has_far_pending(self):
+    def has_remote_pending(self):
         """Whether other data centres have not been told of some change."""
         return bool(self._far_pending)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -41,7 +41,7 @@
     def has_urgent_news(self):
         """Whether something was seen here that makes a target or a request worse."""
         has_runs = self._zone.suspects.near_record_count != self._runs_told
-        has_limits = self._zone.limits.named.has_far_pending
+        has_limits = self._zone.limits.named.has_remote_pending
         return has_runs or has_limits or self._zone.evidence.has_untold
 
     def note_hub(self, centre, address, at):
