--- a/packages/plumsaddle-core/plumsaddle_core/limits/named.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/named.py
@@ -155,7 +155,7 @@
         """Return the `LimitRow`s for a message to other data centres."""
         return self._take(self._far_pending)
 
-    def repeated_rows(self, most, rng):
+    def anti_entropy_rows(self, most, rng):
         """
         Return some of all entries, drawn anew each time.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -78,7 +78,7 @@
         named = self._zone.limits.named
         rows = named.remote_rows()
         if is_periodic:
-            rows += named.repeated_rows(LIMITS_REPEATED, self._rng)
+            rows += named.anti_entropy_rows(LIMITS_REPEATED, self._rng)
         return [tuple(row) for row in rows]
 
     def tell_load(self, at):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -321,7 +321,7 @@
         rows = named.local_rows()
         if beat is not None:
             most = ROWS_MOST if self._picked_itself() else LIMITS_REPEATED
-            rows += named.repeated_rows(most, self._rng)
+            rows += named.anti_entropy_rows(most, self._rng)
         return rows
 
     def _send_bundle(self, at):
--- a/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
@@ -283,7 +283,7 @@
         rows = []
         if self.way == "shared":
             rows = host.limits.named.local_rows()
-            rows += host.limits.named.repeated_rows(1, self.rng)
+            rows += host.limits.named.anti_entropy_rows(1, self.rng)
         counts, host.untold = host.untold, 0
         sent, host.unsummed = host.unsummed, {}
         at = self.at
