--- a/packages/plumsaddle-core/plumsaddle_core/limits/named.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/named.py
@@ -21,7 +21,7 @@
 # Messages in which a changed entry goes out: datagrams are lost now and then.
 SENDS_PER_CHANGE = 2
 # Entries of one message at most; the others follow with the next one.
-ROWS_MOST = 40
+MAX_ROWS = 40
 # Seconds after which the entry of an incarnation that is no longer listed is dropped.
 UNLISTED_FOR = 60.0
 
@@ -171,7 +171,7 @@
         return [self._row(life) for life in lives]
 
     def _take(self, pending):
-        lives = list(pending)[:ROWS_MOST]
+        lives = list(pending)[:MAX_ROWS]
         for life in lives:
             pending[life] -= 1
             if not pending[life]:
--- a/packages/plumsaddle-core/plumsaddle_core/limits/named_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/named_test.py
@@ -6,7 +6,7 @@
 
 from hypothesis import given, strategies as st
 
-from .named import NO_LIMIT, ROWS_MOST, UNLISTED_FOR, LimitRow, NamedLimits
+from .named import MAX_ROWS, NO_LIMIT, UNLISTED_FOR, LimitRow, NamedLimits
 
 
 def _exchange(hosts, now):
@@ -59,7 +59,7 @@
     assert one.local_rows()
     assert one.local_rows()
     assert not one.local_rows()
-    for row in hub.anti_entropy_rows(ROWS_MOST, random):
+    for row in hub.anti_entropy_rows(MAX_ROWS, random):
         assert not one.merge(row, True, 3.0)
     _exchange([one, hub], 3.0)
     assert hub.rate("t") is None
@@ -74,7 +74,7 @@
     limits.evict({"t~2"}, 10.0 + UNLISTED_FOR)
     assert not limits
     assert not limits.local_rows()
-    assert not limits.anti_entropy_rows(ROWS_MOST, random)
+    assert not limits.anti_entropy_rows(MAX_ROWS, random)
 
 
 def test_a_target_that_lapses_and_returns_keeps_its_limit():
@@ -90,15 +90,15 @@
 
 def test_changes_go_out_twice_and_all_are_repeated():
     limits = NamedLimits()
-    for number in range(ROWS_MOST + 5):
+    for number in range(MAX_ROWS + 5):
         limits.observe(f"t-{number}", 1.0, sent_at=0.0, now=1.0)
     told = [row.life for _ in range(4) for row in limits.local_rows()]
-    assert sorted(told) == sorted([f"t-{n}" for n in range(ROWS_MOST + 5)] * 2)
+    assert sorted(told) == sorted([f"t-{n}" for n in range(MAX_ROWS + 5)] * 2)
     rng = random.Random(1)
     repeated = [
-        row for _ in range(9) for row in limits.anti_entropy_rows(ROWS_MOST, rng)
+        row for _ in range(9) for row in limits.anti_entropy_rows(MAX_ROWS, rng)
     ]
-    assert len({row.life for row in repeated}) == ROWS_MOST + 5
+    assert len({row.life for row in repeated}) == MAX_ROWS + 5
 
 
 def test_only_what_the_own_data_centre_saw_goes_to_the_others():
@@ -135,7 +135,7 @@
     # Each tells all of its entries in the end, as hubs do.
     for _ in range(2):
         for teller in hosts:
-            for row in teller.anti_entropy_rows(ROWS_MOST, rng):
+            for row in teller.anti_entropy_rows(MAX_ROWS, rng):
                 for host in hosts:
                     host.merge(row, True, 100.0)
     assert len({host.rate("t") for host in hosts}) == 1
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -23,7 +23,7 @@
 import msgspec
 
 from plumsaddle_core.core.features import Feature
-from plumsaddle_core.limits.named import ROWS_MOST
+from plumsaddle_core.limits.named import MAX_ROWS
 from plumsaddle_core.ops.neighbours import PeerTable
 from plumsaddle_core.ops.pacing import Allowances
 
@@ -320,7 +320,7 @@
         named = self._zone.limits.named
         rows = named.local_rows()
         if beat is not None:
-            most = ROWS_MOST if self._picked_itself() else LIMITS_REPEATED
+            most = MAX_ROWS if self._picked_itself() else LIMITS_REPEATED
             rows += named.anti_entropy_rows(most, self._rng)
         return rows
 
