--- a/packages/plumsaddle-core/plumsaddle_core/limits/named.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/named.py
@@ -50,7 +50,7 @@
         self.known_at = self.since = -math.inf
 
 
-class NamedLimits:
+class AdvertisedLimits:
     """
     The limits in force, as one host knows them.
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/named_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/named_test.py
@@ -6,7 +6,7 @@
 
 from hypothesis import given, strategies as st
 
-from .named import MAX_ROWS, NO_LIMIT, UNLISTED_FOR, LimitRow, NamedLimits
+from .named import MAX_ROWS, NO_LIMIT, UNLISTED_FOR, AdvertisedLimits, LimitRow
 
 
 def _exchange(hosts, now):
@@ -19,7 +19,7 @@
 
 
 def test_an_answer_names_changes_and_ends_a_limit():
-    limits = NamedLimits()
+    limits = AdvertisedLimits()
     assert limits.observe("t", 2.3, sent_at=0.0, now=1.0)
     assert limits.rate("t") == 2.3
     assert not limits.observe("t", 2.3, sent_at=1.0, now=2.0)
@@ -32,7 +32,7 @@
 
 def test_an_answer_to_an_earlier_request_does_not_loosen_a_limit():
     """Guards against a late answer from before the limit that lifts it again."""
-    limits = NamedLimits()
+    limits = AdvertisedLimits()
     limits.observe("t", 1.0, sent_at=0.0, now=5.0)
     assert not limits.observe("t", None, sent_at=4.9, now=5.1)
     assert not limits.observe("t", 3.0, sent_at=4.9, now=5.1)
@@ -42,7 +42,7 @@
 
 def test_the_stricter_of_two_simultaneous_changes_wins_everywhere():
     """Guards against hosts that each keep their own view for ever."""
-    one, two = NamedLimits(), NamedLimits()
+    one, two = AdvertisedLimits(), AdvertisedLimits()
     one.observe("t", 2.0, sent_at=0.0, now=1.0)
     two.observe("t", 7.0, sent_at=0.0, now=1.0)
     _exchange([one, two], 1.1)
@@ -51,7 +51,7 @@
 
 def test_a_host_that_missed_a_change_is_repaired():
     """Guards against a hub that repeats an outdated limit and is never corrected."""
-    one, hub = NamedLimits(), NamedLimits()
+    one, hub = AdvertisedLimits(), AdvertisedLimits()
     one.observe("t", 2.0, sent_at=0.0, now=1.0)
     _exchange([one, hub], 1.0)
     one.observe("t", None, sent_at=1.5, now=2.0)
@@ -67,7 +67,7 @@
 
 def test_each_incarnation_has_a_limit_of_its_own():
     """Guards against a restarted target that inherits its former limit."""
-    limits = NamedLimits()
+    limits = AdvertisedLimits()
     limits.observe("t~1", 2.0, sent_at=0.0, now=1.0)
     assert limits.rate("t~2") is None
     limits.evict({"t~2"}, 10.0)
@@ -79,7 +79,7 @@
 
 def test_a_target_that_lapses_and_returns_keeps_its_limit():
     """Guards against hosts that all forget a limit while the store is away."""
-    limits = NamedLimits()
+    limits = AdvertisedLimits()
     limits.observe("t", 2.0, sent_at=0.0, now=1.0)
     limits.evict(set(), 10.0)
     limits.evict({"t"}, 60.0)
@@ -89,7 +89,7 @@
 
 
 def test_changes_go_out_twice_and_all_are_repeated():
-    limits = NamedLimits()
+    limits = AdvertisedLimits()
     for number in range(MAX_ROWS + 5):
         limits.observe(f"t-{number}", 1.0, sent_at=0.0, now=1.0)
     told = [row.life for _ in range(4) for row in limits.local_rows()]
@@ -103,7 +103,7 @@
 
 def test_only_what_the_own_data_centre_saw_goes_to_the_others():
     """Guards against data centres that tell each other the same change for ever."""
-    limits = NamedLimits()
+    limits = AdvertisedLimits()
     limits.merge(LimitRow("far", 1, 2.0), False, 1.0)
     limits.merge(LimitRow("near", 1, 2.0), True, 1.0)
     assert [row.life for row in limits.remote_rows()] == ["near"]
@@ -122,7 +122,7 @@
 )
 def test_hosts_converge_in_whichever_order_messages_arrive(events, rng):
     """Guards against limits on which hosts differ for good."""
-    hosts = [NamedLimits() for _ in range(4)]
+    hosts = [AdvertisedLimits() for _ in range(4)]
     sent = []
     for at, (number, rate, is_told) in enumerate(events):
         hosts[number].observe("t", rate, sent_at=at - 0.1, now=float(at))
@@ -142,7 +142,7 @@
 
 
 def test_a_limit_that_ended_is_told_too():
-    limits = NamedLimits()
+    limits = AdvertisedLimits()
     limits.observe("t", 2.0, sent_at=0.0, now=1.0)
     limits.observe("t", None, sent_at=2.0, now=3.0)
     assert limits.local_rows() == [LimitRow("t", 2, NO_LIMIT)]
--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
@@ -12,7 +12,7 @@
 import random
 
 from .bucket import TokenBucket
-from .named import NamedLimits
+from .named import AdvertisedLimits
 from .shares import LimitedTarget, share_out
 
 # Requests a second that a target is sent at least over all hosts.
@@ -52,7 +52,7 @@
     """
 
     def __init__(self, roster, rng=random):
-        self.named = NamedLimits()
+        self.named = AdvertisedLimits()
         self.roster = roster
         self._rng = rng
         self._services = {}
