--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
@@ -52,7 +52,7 @@
     """
 
     def __init__(self, roster, rng=random):
-        self.named = AdvertisedLimits()
+        self.advertised = AdvertisedLimits()
         self.roster = roster
         self._rng = rng
         self._services = {}
@@ -68,9 +68,9 @@
           revision: Grows with each change of what is listed.
           now: The present, in seconds.
         """
-        if not self.named or not targets:
+        if not self.advertised or not targets:
             return targets
-        named = self.named
+        named = self.advertised
         if not any(named.rate(target.life) is not None for target in targets):
             return targets
         buckets = self._service(targets, centre, revision, now).buckets
@@ -83,7 +83,7 @@
 
     def wait(self, target, now):
         """Return the seconds until a request may be sent to an admitted target."""
-        if self.named.rate(target.life) is None:
+        if self.advertised.rate(target.life) is None:
             return 0.0
         bucket = self._bucket(target)
         return bucket.wait(now) if bucket is not None else 0.0
@@ -128,13 +128,13 @@
         if service is None:
             service = self._services[name] = _Service()
         may_send = self.roster.may_send(now)
-        key = (self.named.revision, revision, int(now / SHARES_EVERY), may_send)
+        key = (self.advertised.revision, revision, int(now / SHARES_EVERY), may_send)
         if service.key != key:
             service.key = key
             limited = [
-                LimitedTarget(t.life, max(RATE_LEAST, self.named.rate(t.life)))
+                LimitedTarget(t.life, max(RATE_LEAST, self.advertised.rate(t.life)))
                 for t in targets
-                if t.centre == centre and self.named.rate(t.life) is not None
+                if t.centre == centre and self.advertised.rate(t.life) is not None
             ]
             service.total = sum(target.rate for target in limited)
             shares = {}
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -405,7 +405,7 @@
         """Forget what is kept of lives of targets that are no longer listed."""
         self.beliefs = {key: b for key, b in self.beliefs.items() if key in known}
         self.paths = {key: b for key, b in self.paths.items() if key in known}
-        self.limits.named.evict(known, now)
+        self.limits.advertised.evict(known, now)
         tags = {tag_of(key) for key in known}
         for tag in self._used_at.keys() - tags:
             del self._used_at[tag]
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/limits.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/limits.py
@@ -42,11 +42,11 @@
     @property
     def are_any(self):
         """Whether any target names a limit."""
-        return bool(self._limits.named)
+        return bool(self._limits.advertised)
 
     def rate(self, target):
         """Return the requests a second that a target takes, or None without a limit."""
-        return self._limits.named.rate(target.life)
+        return self._limits.advertised.rate(target.life)
 
     def within(self, service, longest, at):
         """
@@ -112,7 +112,7 @@
             # What rejects a request need not know of the limit.
             return
         former = self.rate(target)
-        if self._limits.named.observe(target.life, rate, sent_at, now()):
+        if self._limits.advertised.observe(target.life, rate, sent_at, now()):
             request = request_id.decode("latin-1")
             extra = {"target": target.id, "rate": rate, "former": former}
             log.info("rate limit", extra={**extra, "request": request})
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -41,7 +41,7 @@
     def has_urgent_news(self):
         """Whether something was seen here that makes a target or a request worse."""
         has_runs = self._zone.suspects.near_record_count != self._runs_told
-        has_limits = self._zone.limits.named.has_remote_pending
+        has_limits = self._zone.limits.advertised.has_remote_pending
         return has_runs or has_limits or self._zone.evidence.has_untold
 
     def note_hub(self, centre, address, at):
@@ -75,7 +75,7 @@
 
     def _limit_rows(self, is_periodic):
         """Return targets' rate limits to tell: what changed, and at times others."""
-        named = self._zone.limits.named
+        named = self._zone.limits.advertised
         rows = named.remote_rows()
         if is_periodic:
             rows += named.anti_entropy_rows(LIMITS_REPEATED, self._rng)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -317,7 +317,7 @@
 
     def _limit_rows(self, beat):
         """Return targets' rate limits to tell: what changed, and at times others."""
-        named = self._zone.limits.named
+        named = self._zone.limits.advertised
         rows = named.local_rows()
         if beat is not None:
             most = MAX_ROWS if self._picked_itself() else LIMITS_REPEATED
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -101,12 +101,12 @@
         if isinstance(message, Work):
             self._collected.note_client(address, at)
             runs_known = self._zone.suspects.near_record_count
-            limits_known = self._zone.limits.named.revision
+            limits_known = self._zone.limits.advertised.revision
             if self._take_work(message, at):
                 self._collected.add_work(message.host, data)
                 is_calm = all(row[4] in DEFERRABLE_OUTCOMES for row in message.outcomes)
                 has_runs = self._zone.suspects.near_record_count > runs_known
-                has_limits = self._zone.limits.named.revision != limits_known
+                has_limits = self._zone.limits.advertised.revision != limits_known
                 self._ways.send_soon(has_runs or has_limits or not is_calm)
         elif isinstance(message, Bundle):
             self._take_bundle(message, address, at)
@@ -200,7 +200,7 @@
 
     def _take_limits(self, rows, host, is_near, at):
         """Take rate limits that targets named to others; return whether any is new."""
-        limits = self._zone.limits.named
+        limits = self._zone.limits.advertised
         has_news = False
         for row in map(LimitRow._make, rows):
             former = limits.rate(row.life)
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_rate_limit_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_rate_limit_test.py
@@ -69,7 +69,7 @@
     """Let all targets name a limit, and wait until all hosts know of all."""
     for worker in trial.workers.values():
         worker.rate_limit = limit
-    named = [host.knowledge.zone.limits.named for host in trial.hosts]
+    named = [host.knowledge.zone.limits.advertised for host in trial.hosts]
     number = 0
     while any(len(limits) < len(trial.workers) for limits in named):
         number += 1
@@ -118,7 +118,7 @@
         for worker in trial.workers.values():
             worker.rate_limit = None
         await press(trial, 2.0, 0.02)
-        named = [host.knowledge.zone.limits.named for host in trial.hosts]
+        named = [host.knowledge.zone.limits.advertised for host in trial.hosts]
         await until(lambda: not any(named), 2.0)
         answers = await press(trial, 1.0, 0.02)
         assert {status for status, _, _ in answers} == {200}
@@ -130,7 +130,7 @@
     async with Trial(("look",), targets=2, hosts=2) as trial:
         await name_at_all(trial, "0.5")
         late = await trial.add_host(2)
-        limits = late.knowledge.zone.limits.named
+        limits = late.knowledge.zone.limits.advertised
         await until(lambda: late.knowledge.is_complete and len(limits) == 2, 4.0)
         before = sum(len(worker.arrivals) for worker in trial.workers.values())
         for number in range(40):
@@ -151,7 +151,7 @@
             if hub_order(f"127.0.0.1:{port}") < min(map(hub_order, former))
         )
         late = await trial.add_host(2, peers_port=port)
-        limits = late.knowledge.zone.limits.named
+        limits = late.knowledge.zone.limits.advertised
         await until(lambda: late.knowledge.is_complete and len(limits) == 2, 4.0)
         neighbours = [host.peers._neighbours for host in trial.hosts]
         hubs = {None, late.settings.peers}
@@ -183,7 +183,7 @@
         trial.workers["look-0"].rate_limit = "0.5"
         trial.set_mode("look", mode)
         await trial.ask("/look/a", "one")
-        limits = trial.hosts[0].knowledge.zone.limits.named
+        limits = trial.hosts[0].knowledge.zone.limits.advertised
         assert len(limits) == 1
 
 
@@ -199,7 +199,7 @@
         for number in range(3):
             await trial.ask("/look/a", f"rejected-{number}")
             await asyncio.sleep(0.2)
-        limits = trial.hosts[0].knowledge.zone.limits.named
+        limits = trial.hosts[0].knowledge.zone.limits.advertised
         assert len(worker.arrivals) >= 2
         assert len(limits) == 1
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
@@ -262,7 +262,7 @@
         host.is_named[number] = host.is_named[number] or rate is not None
         if rate is not None:
             host.told_at[number] = min(host.told_at[number], self.at)
-        named = host.limits.named
+        named = host.limits.advertised
         if self.way == "shared":
             life = self.targets[number].life
             if named.observe(life, rate, sent_at, self.at):
@@ -282,8 +282,8 @@
     def _tell(self, host, delays):
         rows = []
         if self.way == "shared":
-            rows = host.limits.named.local_rows()
-            rows += host.limits.named.anti_entropy_rows(1, self.rng)
+            rows = host.limits.advertised.local_rows()
+            rows += host.limits.advertised.anti_entropy_rows(1, self.rng)
         counts, host.untold = host.untold, 0
         sent, host.unsummed = host.unsummed, {}
         at = self.at
@@ -308,7 +308,7 @@
         if counts:
             roster.note_demand(name, "s", counts, self.at)
         for row in rows:
-            host.limits.named.merge(row, True, self.at)
+            host.limits.advertised.merge(row, True, self.at)
         for number, count in sent.items():
             meter = _meter(self, host, number)
             meter.note_asked(count, self.at)
