--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
@@ -57,7 +57,7 @@
         self._rng = rng
         self._services = {}
 
-    def admits(self, targets, centre, longest, revision, now):
+    def admissible(self, targets, centre, longest, revision, now):
         """
         Return the targets to which a request may be sent in time.
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
@@ -38,7 +38,7 @@
     sent = []
     for step in range(int(seconds / every)):
         now = 1.0 + step * every
-        for target in limits.admits(targets, "x", 0.0, 1, now):
+        for target in limits.admissible(targets, "x", 0.0, 1, now):
             limits.acquire(target, now)
             sent.append(now)
     return sent
@@ -46,9 +46,9 @@
 
 def test_targets_without_a_limit_are_not_touched():
     limits, targets = _sole(), [_target(1), _target(2)]
-    assert limits.admits(targets, "x", 0.0, 1, 1.0) is targets
+    assert limits.admissible(targets, "x", 0.0, 1, 1.0) is targets
     _name(limits, 0.5, targets[:1])
-    assert limits.admits(targets, "x", 0.0, 1, 1.0) == targets[1:]
+    assert limits.admissible(targets, "x", 0.0, 1, 1.0) == targets[1:]
 
 
 @pytest.mark.parametrize("rate", [0.2, 2.3, 20.0, 200.0])
@@ -72,27 +72,27 @@
     """Guards against shares that ignore what other data centres send."""
     limits, targets = _sole(), [_target(1, "y"), _target(2)]
     _name(limits, 50.0, targets)
-    limits.admits(targets, "x", 0.0, 1, 1.0)
-    assert limits.admits(targets, "x", 0.0, 1, 9.0) == targets[1:]
+    limits.admissible(targets, "x", 0.0, 1, 1.0)
+    assert limits.admissible(targets, "x", 0.0, 1, 9.0) == targets[1:]
 
 
 def test_a_request_that_was_not_sent_leaves_its_token():
     limits, targets = _sole(), [_target(1)]
     _name(limits, 1.0, targets)
-    limits.admits(targets, "x", 0.0, 1, 1.0)
-    assert limits.admits(targets, "x", 0.0, 1, 2.0) == targets
+    limits.admissible(targets, "x", 0.0, 1, 1.0)
+    assert limits.admissible(targets, "x", 0.0, 1, 2.0) == targets
     limits.acquire(targets[0], 2.0)
-    assert limits.admits(targets, "x", 0.0, 1, 2.0) == []
+    assert limits.admissible(targets, "x", 0.0, 1, 2.0) == []
     limits.release(targets[0], 2.0)
-    assert limits.admits(targets, "x", 0.0, 1, 2.0) == targets
+    assert limits.admissible(targets, "x", 0.0, 1, 2.0) == targets
 
 
 def test_a_request_may_reserve_a_token_that_comes_soon():
     limits, targets = _sole(), [_target(1)]
     _name(limits, 2.0, targets)
-    limits.admits(targets, "x", 0.0, 1, 1.0)
-    assert limits.admits(targets, "x", 0.4, 1, 1.0) == []
-    assert limits.admits(targets, "x", 0.5, 1, 1.0) == targets
+    limits.admissible(targets, "x", 0.0, 1, 1.0)
+    assert limits.admissible(targets, "x", 0.4, 1, 1.0) == []
+    assert limits.admissible(targets, "x", 0.5, 1, 1.0) == targets
     assert limits.wait(targets[0], 1.0) == 0.5
     limits.acquire(targets[0], 1.0)
     assert limits.wait(targets[0], 1.0) == 1.0
@@ -129,4 +129,4 @@
     old = _target(1)._replace(born=1)
     _name(limits, 0.5, [old])
     new = old._replace(born=2)
-    assert limits.admits([new], "x", 0.0, 2, 1.0) == [new]
+    assert limits.admissible([new], "x", 0.0, 2, 1.0) == [new]
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/limits.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/limits.py
@@ -59,7 +59,7 @@
         """
         usable = self._registry.usable(service)
         centre, revision = self._settings.centre, self._registry.revision
-        return self._limits.admits(usable, centre, longest, revision, at)
+        return self._limits.admissible(usable, centre, longest, revision, at)
 
     def retry_after(self, service, at):
         """
--- a/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
@@ -239,7 +239,7 @@
 
     def _send_delayed(self, host, number):
         """Send after a wait, or to another target if the host has no share any more."""
-        targets = host.limits.admits(self.targets, "x", math.inf, 1, self.at)
+        targets = host.limits.admissible(self.targets, "x", math.inf, 1, self.at)
         if not host.is_up:
             return
         if self.targets[number] in targets:
@@ -405,7 +405,7 @@
 
 def _shared(model, host):
     for longest in (0.0, WAIT):
-        targets = host.limits.admits(model.targets, "x", longest, 1, model.at)
+        targets = host.limits.admissible(model.targets, "x", longest, 1, model.at)
         if targets:
             return [int(target.id.partition("-")[2]) for target in targets]
     return []
