--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
@@ -145,7 +145,7 @@
         return service
 
 
-def longest_wait(demand, urgency):
+def max_token_wait(demand, urgency):
     """
     Return the most seconds that a request may wait for a token.
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
@@ -14,7 +14,7 @@
     RETRY_AFTER_MOST,
     WAIT_MOST,
     TargetLimits,
-    longest_wait,
+    max_token_wait,
 )
 
 
@@ -101,11 +101,11 @@
 def test_only_urgent_requests_with_time_left_wait():
     """Guards against requests that wait for a token and are late or in the way."""
     demand = Demand(RequestKind.IDEMPOTENT, 0.5, 1.5, 3.0, 1.0)
-    assert longest_wait(demand, 1.0) == 0.5
-    assert longest_wait(demand, 0.5) == 0.25
-    assert longest_wait(demand, 0.0) == 0.0
-    assert longest_wait(demand._replace(objective_left=0.3), 1.0) == 0.0
-    assert longest_wait(demand._replace(objective_left=30.0), 1.0) == WAIT_MOST
+    assert max_token_wait(demand, 1.0) == 0.5
+    assert max_token_wait(demand, 0.5) == 0.25
+    assert max_token_wait(demand, 0.0) == 0.0
+    assert max_token_wait(demand._replace(objective_left=0.3), 1.0) == 0.0
+    assert max_token_wait(demand._replace(objective_left=30.0), 1.0) == WAIT_MOST
 
 
 def test_refused_callers_are_told_different_times():
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -14,7 +14,7 @@
 
 from plumsaddle_core.core.features import Feature
 from plumsaddle_core.core.traffic import Reply, SendOutcome
-from plumsaddle_core.limits.targets import longest_wait
+from plumsaddle_core.limits.targets import max_token_wait
 from plumsaddle_core.ops.attempt import NOT_SENT, Attempt
 from plumsaddle_core.ops.urgency import patience
 
@@ -326,7 +326,7 @@
             ask.route, ask.service, ask.started, ask.deadline, kilobytes, at
         )
         excluded = self._excluded | set(self._attempt.targets)
-        longest = 0.0 if retry_cause == SLOW else longest_wait(demand, ask.urgency)
+        longest = 0.0 if retry_cause == SLOW else max_token_wait(demand, ask.urgency)
         choice = self._knowledge.choose(
             ask.service, demand, excluded, self._has_link, at, longest
         )
