--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -22,7 +22,7 @@
 
 from .liveness import ISOLATED_AFTER, Liveness
 from .meter import Meter, Tolerance, capacity_of
-from .sums import FADE, Sums, tag_of_workspace
+from .sums import FADE, Sums, workspace_tag
 
 # The part of each limit that is dealt equally, so that a host which was asked nothing
 # before it was cut off may serve a little.
@@ -118,7 +118,7 @@
         if self._started is None:
             self._started = now
         self._limits = {
-            tag_of_workspace(workspace.name): workspace
+            workspace_tag(workspace.name): workspace
             for workspace in workspaces
             if workspace.rate > 0
         }
@@ -151,7 +151,7 @@
         """
         if workspace is None or workspace.rate <= 0:
             return ADMITTED
-        tag = tag_of_workspace(workspace.name)
+        tag = workspace_tag(workspace.name)
         known = self._find(tag, now)
         if known is None:
             return ADMITTED
@@ -186,7 +186,7 @@
         """Take it that a request which was let through has not run, and never will."""
         if workspace is None or workspace.rate <= 0:
             return
-        tag = tag_of_workspace(workspace.name)
+        tag = workspace_tag(workspace.name)
         known = self._find(tag, now)
         if known is not None:
             self._count(tag, known, 0.0, -1.0, now)
--- a/packages/plumsaddle-core/plumsaddle_core/limits/sums.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/sums.py
@@ -31,7 +31,7 @@
 
 
 @functools.lru_cache(maxsize=65536)
-def tag_of_workspace(name):
+def workspace_tag(name):
     """
     Return a short number for a workspace's name, for messages.
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/quota_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/quota_model.py
@@ -23,7 +23,7 @@
 from plumsaddle_core.core.traffic import Workspace
 from plumsaddle_core.limits.meter import Meter, Tolerance, capacity_of
 from plumsaddle_core.limits.quotas import Quotas
-from plumsaddle_core.limits.sums import tag_of_workspace
+from plumsaddle_core.limits.sums import workspace_tag
 
 NAME = "one"
 CENTRES = ("x", "y", "z")
@@ -109,8 +109,8 @@
     """A host that lets through while the sum that it knows leaves room."""
 
     def ask(self, model):
-        known = self.quotas._find(tag_of_workspace(NAME), model.at)
-        tag = tag_of_workspace(NAME)
+        known = self.quotas._find(workspace_tag(NAME), model.at)
+        tag = workspace_tag(NAME)
         is_admitted = known.meter.left(model.at) >= 1.0
         self.quotas._count(tag, known, 1.0, float(is_admitted), model.at)
         return is_admitted
