--- a/packages/plumsaddle-core/plumsaddle_core/limits/meter.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/meter.py
@@ -55,7 +55,7 @@
 SLACK_USED = 0.3
 
 
-def capacity_of(rate, burst, tolerance):
+def window_capacity(rate, burst, tolerance):
     """
     Return how many requests may be let through in a window.
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -21,7 +21,7 @@
 from typing import NamedTuple
 
 from .liveness import ISOLATED_AFTER, Liveness
-from .meter import Meter, Tolerance, capacity_of
+from .meter import Meter, Tolerance, window_capacity
 from .sums import FADE, Sums, workspace_tag
 
 # The part of each limit that is dealt equally, so that a host which was asked nothing
@@ -130,7 +130,7 @@
     def _limit_of(self, tag):
         workspace = self._limits[tag]
         rate, burst = workspace.rate, workspace.burst
-        return rate, capacity_of(rate, burst, self._tolerance)
+        return rate, window_capacity(rate, burst, self._tolerance)
 
     @property
     def kept(self):
--- a/packages/plumsaddle-standins/plumsaddle_standins/quota_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/quota_model.py
@@ -21,7 +21,7 @@
 from typing import NamedTuple
 
 from plumsaddle_core.core.traffic import Workspace
-from plumsaddle_core.limits.meter import Meter, Tolerance, capacity_of
+from plumsaddle_core.limits.meter import Meter, Tolerance, window_capacity
 from plumsaddle_core.limits.quotas import Quotas
 from plumsaddle_core.limits.sums import workspace_tag
 
@@ -128,7 +128,7 @@
 
     def configure(self, model):
         rate, burst = model.workspace.rate, model.workspace.burst
-        capacity = capacity_of(rate, burst, TOLERANCE)
+        capacity = window_capacity(rate, burst, TOLERANCE)
         self.meter.limit(rate * self.part, max(1.0, capacity * self.part))
 
     def ask(self, model):
