--- a/packages/plumsaddle-core/plumsaddle_core/limits/meter.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/meter.py
@@ -178,7 +178,7 @@
         """Return the requests a second that all hosts are asked."""
         return self._demand.at(now) / self._demand_for
 
-    def left(self, now):
+    def remaining(self, now):
         """Return how many more requests the window has room for."""
         oldest = self._number(now) - SLOTS
         while self._slots:
@@ -198,7 +198,7 @@
           now: The present, in seconds.
         """
         heard = min(demand, self._heard.at(now) / HEARD_OVER)
-        left = self.left(now) - UNHEARD_FOR * max(0.0, heard)
+        left = self.remaining(now) - UNHEARD_FOR * max(0.0, heard)
         # Hosts that are not heard likely let through as much for their part.
         if left >= RESERVE * self.capacity + 1.0 / part:
             return 1.0
@@ -220,7 +220,7 @@
           spread: A number from 0.0 to 1.0, drawn for the caller.
           now: The present, in seconds.
         """
-        missing = MARGIN * self.capacity + 1.0 - self.left(now)
+        missing = MARGIN * self.capacity + 1.0 - self.remaining(now)
         room_at = now
         for number, count in self._slots.items():
             if missing <= 0.0:
--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -166,7 +166,7 @@
         return QuotaDecision(
             False,
             known.meter.pause(demand, self._rng.random(), now),
-            round(known.meter.left(now), 1),
+            round(known.meter.remaining(now), 1),
             round(demand, 1),
             round(part, 3),
             self._liveness.count_missing(),
--- a/packages/plumsaddle-standins/plumsaddle_standins/quota_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/quota_model.py
@@ -111,7 +111,7 @@
     def ask(self, model):
         known = self.quotas._find(workspace_tag(NAME), model.at)
         tag = workspace_tag(NAME)
-        is_admitted = known.meter.left(model.at) >= 1.0
+        is_admitted = known.meter.remaining(model.at) >= 1.0
         self.quotas._count(tag, known, 1.0, float(is_admitted), model.at)
         return is_admitted
 
@@ -136,7 +136,7 @@
         if self.until and model.at > self.until:
             self.part, self.until = 1.0 / model.case.hosts, 0.0
             self.configure(model)
-        if self.meter.left(model.at) < 1.0:
+        if self.meter.remaining(model.at) < 1.0:
             return False
         self.meter.note_admitted(1.0, model.at)
         return True
