--- a/packages/plumsaddle-core/plumsaddle_core/limits/meter.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/meter.py
@@ -134,7 +134,7 @@
     def _number(self, now):
         return int(now / self._slot)
 
-    def limit(self, rate, capacity):
+    def set_limit(self, rate, capacity):
         """
         Set another limit.
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -125,7 +125,7 @@
         for tag in self._known.keys() - self._limits.keys():
             self._forget(tag)
         for tag, known in self._known.items():
-            known.meter.limit(*self._limit_of(tag))
+            known.meter.set_limit(*self._limit_of(tag))
 
     def _limit_of(self, tag):
         workspace = self._limits[tag]
--- a/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
@@ -365,7 +365,7 @@
             allowed.append(number)
             continue
         meter = _meter(model, host, number)
-        meter.limit(model.rates[number], model.rates[number] * LIMIT_WINDOW + 1.0)
+        meter.set_limit(model.rates[number], model.rates[number] * LIMIT_WINDOW + 1.0)
         # Each request could go to any target.
         meter.note_asked(1.0 / model.case.targets, model.at)
         chance = meter.chance(1.0, meter.demand(model.at), model.at)
--- a/packages/plumsaddle-standins/plumsaddle_standins/quota_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/quota_model.py
@@ -129,7 +129,7 @@
     def configure(self, model):
         rate, burst = model.workspace.rate, model.workspace.burst
         capacity = window_capacity(rate, burst, TOLERANCE)
-        self.meter.limit(rate * self.part, max(1.0, capacity * self.part))
+        self.meter.set_limit(rate * self.part, max(1.0, capacity * self.part))
 
     def ask(self, model):
         self.asked += 1
