--- a/packages/plumsaddle-core/plumsaddle_core/limits/meter.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/meter.py
@@ -188,7 +188,7 @@
             self._used -= self._slots.pop(number)
         return self.capacity - self._used
 
-    def chance(self, part, demand, now):
+    def admission_probability(self, part, demand, now):
         """
         Return the probability with which a request is to be let through.
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -158,7 +158,7 @@
         known.meter.note_asked(1.0, now)
         part = self._part(tag, known, now)
         demand = self._demand(known, now)
-        chance = known.meter.chance(part, demand, now)
+        chance = known.meter.admission_probability(part, demand, now)
         is_admitted = chance >= 1.0 or self._rng.random() < chance
         self._count(tag, known, 1.0, float(is_admitted), now)
         if is_admitted:
--- a/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
@@ -368,7 +368,7 @@
         meter.set_limit(model.rates[number], model.rates[number] * LIMIT_WINDOW + 1.0)
         # Each request could go to any target.
         meter.note_asked(1.0 / model.case.targets, model.at)
-        chance = meter.chance(1.0, meter.demand(model.at), model.at)
+        chance = meter.admission_probability(1.0, meter.demand(model.at), model.at)
         if model.rng.random() < chance:
             allowed.append(number)
     return allowed
