--- a/packages/plumsaddle-core/plumsaddle_core/limits/meter.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/meter.py
@@ -149,7 +149,7 @@
         self.rate = rate
         self.capacity = capacity
 
-    def note_asked(self, count, now):
+    def note_requested(self, count, now):
         """Count requests that some host was asked."""
         self._demand.add(count, now)
 
@@ -170,7 +170,7 @@
             first message was let through long ago and tells no rate.
           now: The present, in seconds.
         """
-        self.note_asked(asked, now)
+        self.note_requested(asked, now)
         if is_known:
             self._heard.add(admitted, now)
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -155,7 +155,7 @@
         known = self._find(tag, now)
         if known is None:
             return ADMITTED
-        known.meter.note_asked(1.0, now)
+        known.meter.note_requested(1.0, now)
         part = self._part(tag, known, now)
         demand = self._demand(known, now)
         chance = known.meter.admission_probability(part, demand, now)
--- a/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
@@ -311,7 +311,7 @@
             host.limits.advertised.merge(row, True, self.at)
         for number, count in sent.items():
             meter = _meter(self, host, number)
-            meter.note_asked(count, self.at)
+            meter.note_requested(count, self.at)
             meter.note_admitted(count, self.at)
 
     def _note_request(self, host):
@@ -367,7 +367,7 @@
         meter = _meter(model, host, number)
         meter.set_limit(model.rates[number], model.rates[number] * LIMIT_WINDOW + 1.0)
         # Each request could go to any target.
-        meter.note_asked(1.0 / model.case.targets, model.at)
+        meter.note_requested(1.0 / model.case.targets, model.at)
         chance = meter.admission_probability(1.0, meter.demand(model.at), model.at)
         if model.rng.random() < chance:
             allowed.append(number)
