--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -52,7 +52,7 @@
     """
 
     is_admitted: bool
-    pause: float = 0.0
+    retry_after: float = 0.0
     left: float = 0.0
     demand: float = 0.0
     part: float = 1.0
--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
@@ -276,7 +276,7 @@
     """
     (host,) = _hosts(1)
     pauses = [
-        decision.pause
+        decision.retry_after
         for decision in (host.acquire(ONE, START) for _ in range(200))
         if not decision.is_admitted
     ]
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
@@ -151,7 +151,7 @@
         return self._refuse(
             request,
             Cause.OVER_LIMIT,
-            decision.pause,
+            decision.retry_after,
             workspace=workspace.name,
             rate=workspace.rate,
             burst=workspace.burst,
