--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -53,7 +53,7 @@
 
     is_admitted: bool
     retry_after: float = 0.0
-    left: float = 0.0
+    remaining: float = 0.0
     demand: float = 0.0
     part: float = 1.0
     silent: int = 0
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
@@ -155,7 +155,7 @@
             workspace=workspace.name,
             rate=workspace.rate,
             burst=workspace.burst,
-            left=decision.left,
+            remaining=decision.remaining,
             demand=decision.demand,
             part=decision.part,
             silent=decision.silent,
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_quota_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_quota_test.py
@@ -117,4 +117,4 @@
             for host in hosts
         ]
         # Of some 60 there is little left, as each of the four knows.
-        assert all(decision.left < 20 for decision in decisions), decisions
+        assert all(decision.remaining < 20 for decision in decisions), decisions
