--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -55,7 +55,7 @@
     retry_after: float = 0.0
     remaining: float = 0.0
     demand: float = 0.0
-    part: float = 1.0
+    reachable_share: float = 1.0
     silent: int = 0
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
@@ -157,7 +157,7 @@
             burst=workspace.burst,
             remaining=decision.remaining,
             demand=decision.demand,
-            part=decision.part,
+            reachable_share=decision.reachable_share,
             silent=decision.silent,
         )
 
