--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -56,7 +56,7 @@
     remaining: float = 0.0
     demand: float = 0.0
     reachable_share: float = 1.0
-    silent: int = 0
+    unreachable_hosts: int = 0
 
 
 ADMITTED = QuotaDecision(True)
--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
@@ -267,7 +267,7 @@
         first.note_hub(now + second_)
         first.tick(now + second_)
     decision = [first.acquire(ONE, now + second_) for _ in range(100)][-1]
-    assert (decision.reachable_share, decision.silent) == (1.0, 0)
+    assert (decision.reachable_share, decision.unreachable_hosts) == (1.0, 0)
 
 
 def test_a_refusal_says_when_there_is_room():
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
@@ -158,7 +158,7 @@
             remaining=decision.remaining,
             demand=decision.demand,
             reachable_share=decision.reachable_share,
-            silent=decision.silent,
+            unreachable_hosts=decision.unreachable_hosts,
         )
 
     def _identify(self, request, route, at):
