--- a/packages/plumsaddle-core/plumsaddle_core/limits/roster.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/roster.py
@@ -45,7 +45,7 @@
             total.add(total.at(self.heard_at) - total.at(now), now)
 
 
-class Roster:
+class Membership:
     """
     The hosts of the data centre, as one of them knows them.
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/roster_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/roster_test.py
@@ -10,13 +10,13 @@
     MEMBER_FOR,
     SOLE_AFTER,
     SOLE_AT_START,
-    Roster,
+    Membership,
 )
 
 
 def _joined(hosts=("b", "c"), at=100.0):
     """Return the roster of a host that has heard others for a while."""
-    roster = Roster("a", at - 10.0)
+    roster = Membership("a", at - 10.0)
     for host in hosts:
         for before in (JOIN_FOR, 3.0, 1.5):
             roster.note_host(host, at - before)
@@ -62,7 +62,7 @@
 
 def test_a_host_that_has_just_started_waits_until_it_knows_the_others():
     """Guards against a new host that takes all of each limit for its own."""
-    roster = Roster("a", 100.0)
+    roster = Membership("a", 100.0)
     assert not roster.may_send(100.1)
     roster.note_host("b", 101.0)
     roster.note_reached(101.2)
@@ -71,7 +71,7 @@
 
 
 def test_a_host_alone_sends_once_the_others_must_be_gone():
-    roster = Roster("a", 100.0)
+    roster = Membership("a", 100.0)
     assert not roster.may_send(100.0 + SOLE_AT_START - 1.0)
     assert roster.may_send(100.0 + SOLE_AT_START)
     joined = _joined()
@@ -80,7 +80,7 @@
 
 
 def test_a_host_without_seeds_is_the_only_one():
-    assert Roster("a", 100.0, has_seeds=False).may_send(100.0)
+    assert Membership("a", 100.0, has_seeds=False).may_send(100.0)
 
 
 def test_the_demand_of_an_unreachable_host_is_that_of_before():
--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
@@ -8,7 +8,7 @@
 
 from ..core.traffic import RequestKind, Target, TargetState
 from ..ops.choice import Demand
-from .roster import Roster
+from .roster import Membership
 from .targets import (
     RATE_LEAST,
     RETRY_AFTER_MOST,
@@ -25,7 +25,7 @@
 
 def _sole():
     """Return the limits of a host that is the only one."""
-    return TargetLimits(Roster("a", 0.0, has_seeds=False), random.Random(1))
+    return TargetLimits(Membership("a", 0.0, has_seeds=False), random.Random(1))
 
 
 def _name(limits, rate, targets):
@@ -119,7 +119,7 @@
 
 
 def test_a_host_without_a_share_names_a_time_too():
-    limits = TargetLimits(Roster("a", 0.0), random.Random(1))
+    limits = TargetLimits(Membership("a", 0.0), random.Random(1))
     _name(limits, 2.0, [_target(1)])
     assert 0.4 < limits.retry_after([_target(1)], "x", 1, 1.0) < 1.0
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -19,7 +19,7 @@
 from collections import Counter, deque
 
 from ..limits.quotas import Quotas
-from ..limits.roster import Roster
+from ..limits.roster import Membership
 from ..limits.targets import TargetLimits
 from .belief import (
     FAILED_RATIO,
@@ -100,7 +100,7 @@
         self.times = RouteTimes()
         self.suspects = SuspectRequests()
         self.quotas = Quotas() if quotas is None else quotas
-        self.limits = limits or TargetLimits(Roster("", started, has_seeds=False))
+        self.limits = limits or TargetLimits(Membership("", started, has_seeds=False))
         self._ratio = ratio
         self._window = window
         self._started = started
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -15,7 +15,7 @@
 from plumsaddle_core.core.traffic import SendOutcome, TargetState
 from plumsaddle_core.limits.meter import Tolerance
 from plumsaddle_core.limits.quotas import Quotas
-from plumsaddle_core.limits.roster import Roster
+from plumsaddle_core.limits.roster import Membership
 from plumsaddle_core.limits.targets import TargetLimits
 from plumsaddle_core.ops.choice import Candidate, Demand, Rule, choose_target
 from plumsaddle_core.ops.floor import Trials
@@ -102,7 +102,9 @@
                 len(settings.centres),
                 rng,
             ),
-            limits=TargetLimits(Roster(settings.id, now(), settings.has_seeds), rng),
+            limits=TargetLimits(
+                Membership(settings.id, now(), settings.has_seeds), rng
+            ),
         )
         self._answer_bytes = {}
         self.limits = RateLimits(settings, self.zone.limits, self.registry, self._tell)
--- a/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
@@ -28,7 +28,7 @@
 from plumsaddle_core.core.traffic import Target, TargetState
 from plumsaddle_core.limits.bucket import TokenBucket
 from plumsaddle_core.limits.meter import Meter
-from plumsaddle_core.limits.roster import Roster
+from plumsaddle_core.limits.roster import Membership
 from plumsaddle_core.limits.targets import TargetLimits
 
 from .windows import LIMIT_HOLDS_AFTER, LIMIT_WINDOW, most_in_window, tolerated
@@ -100,7 +100,7 @@
         self.is_named = dict.fromkeys(range(model.case.targets), False)
         # When it passed on the first answer of a target that named a limit.
         self.told_at = dict.fromkeys(range(model.case.targets), math.inf)
-        self.limits = TargetLimits(Roster(self.name, model.at), model.rng)
+        self.limits = TargetLimits(Membership(self.name, model.at), model.rng)
         self.meters = {}
         self.buckets = {}
         # Requests from callers, and sends by target, that others have not been told.
