--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
@@ -53,7 +53,7 @@
 
     def __init__(self, roster, rng=random):
         self.advertised = AdvertisedLimits()
-        self.roster = roster
+        self.membership = roster
         self._rng = rng
         self._services = {}
 
@@ -112,7 +112,7 @@
         service = self._service(targets, centre, revision, now)
         waits = [bucket.wait(now) for bucket in service.buckets.values()]
         rate = max(service.total, RATE_LEAST)
-        demands = self.roster.demands(targets[0].service, now)
+        demands = self.membership.demands(targets[0].service, now)
         excess = sum(host.demand for host in demands) / rate
         wait = min(waits, default=1.0 / rate) + excess * self._rng.random()
         return min(RETRY_AFTER_MOST, wait)
@@ -127,7 +127,7 @@
         service = self._services.get(name)
         if service is None:
             service = self._services[name] = _Service()
-        may_send = self.roster.may_send(now)
+        may_send = self.membership.may_send(now)
         key = (self.advertised.revision, revision, int(now / SHARES_EVERY), may_send)
         if service.key != key:
             service.key = key
@@ -139,8 +139,8 @@
             service.total = sum(target.rate for target in limited)
             shares = {}
             if limited and may_send:
-                demands = self.roster.demands(name, now)
-                shares = share_out(limited, demands, self.roster.own)
+                demands = self.membership.demands(name, now)
+                shares = share_out(limited, demands, self.membership.own)
             service.buckets = _pour(service.buckets, shares, now)
         return service
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
@@ -112,7 +112,7 @@
     """Guards against callers that all return at the moment of one token."""
     limits, targets = _sole(), [_target(1)]
     _name(limits, 1.0, targets)
-    limits.roster.note_own_demand("look", 25, 1.0)
+    limits.membership.note_own_demand("look", 25, 1.0)
     waits = [limits.retry_after(targets, "x", 1, 1.0) for _ in range(20)]
     assert all(1.0 <= wait <= RETRY_AFTER_MOST for wait in waits)
     assert max(waits) - min(waits) > 2.0
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -157,7 +157,7 @@
     def note_request(self, service, now):
         """Count a request of this host's for a service."""
         self._count(service, Counts(requests=1), now)
-        self.limits.roster.note_own_demand(service, 1, now)
+        self.limits.membership.note_own_demand(service, 1, now)
 
     def note_retry(self, service, now):
         """Count a further send of this host's for a service."""
@@ -237,7 +237,7 @@
             return False
         peer.number = news.number
         peer.heard_at = now
-        self.limits.roster.note_host(news.host, now)
+        self.limits.membership.note_host(news.host, now)
         self._take_in_flight(peer, news.in_flight, now)
         self._most_heard = max(self._most_heard, self.hosts_heard())
         if news.counts:
@@ -296,7 +296,7 @@
             added = now_counts.minus(former.get(service, Counts()))
             self._add_counts(service, added, now)
             if added.requests:
-                roster = self.limits.roster
+                roster = self.limits.membership
                 roster.note_demand(host, service, added.requests, now)
 
     def _add_counts(self, service, counts, now):
@@ -347,7 +347,7 @@
             self._others.subtract(self._peers.pop(host).in_flight)
         self._others = +self._others
         self._elsewhere.forget_silent(now)
-        self.limits.roster.evict(now)
+        self.limits.membership.evict(now)
         heard = self._far.items()
         self._far = {h: entry for h, entry in heard if now - entry[1] < FAR_FOR}
         return silent
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -148,7 +148,7 @@
         sent_at = self._ways.echo_of(work)
         if sent_at is not None:
             self._neighbours.take_echo(sent_at, at)
-            self._zone.limits.roster.note_reached(sent_at)
+            self._zone.limits.membership.note_reached(sent_at)
 
     def _take_beat(self, beat, address, at):
         self._neighbours.describe(address, beat.link, beat.contact)
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_rate_limit_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_rate_limit_test.py
@@ -113,7 +113,7 @@
     """Guards against a target that is left alone after it has recovered."""
     async with Trial(("look",), targets=2, hosts=3) as trial:
         await name_at_all(trial, "2")
-        rosters = [host.knowledge.zone.limits.roster for host in trial.hosts]
+        rosters = [host.knowledge.zone.limits.membership for host in trial.hosts]
         await until(lambda: all(roster.may_send(now()) for roster in rosters))
         for worker in trial.workers.values():
             worker.rate_limit = None
@@ -280,7 +280,7 @@
     async with Trial(("act",), targets=1) as trial:
         answer = await ask_delayed(trial)
         host = trial.hosts[0]
-        host.knowledge.zone.limits.roster.may_send = lambda now: False
+        host.knowledge.zone.limits.membership.may_send = lambda now: False
         status, headers, _ = await answer
         assert status == 503
         assert float(headers["Retry-After"]) > 0.0
--- a/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
@@ -298,12 +298,12 @@
                 self._push(at + delay, self._take, *args)
 
     def _note_reached(self, host, sent_at):
-        host.limits.roster.note_reached(sent_at)
+        host.limits.membership.note_reached(sent_at)
 
     def _take(self, host, name, rows, counts, sent):
         if not host.is_up or host.number in self._cut:
             return
-        roster = host.limits.roster
+        roster = host.limits.membership
         roster.note_host(name, self.at)
         if counts:
             roster.note_demand(name, "s", counts, self.at)
@@ -316,7 +316,7 @@
 
     def _note_request(self, host):
         host.untold += 1
-        host.limits.roster.note_own_demand("s", 1, self.at)
+        host.limits.membership.note_own_demand("s", 1, self.at)
 
 
 def _all(model, host):
@@ -381,12 +381,12 @@
 
 def _ranked(model, host, number):
     """Return the hosts that a host knows, in the order of a target."""
-    names = [d.host for d in host.limits.roster.demands("s", model.at)]
+    names = [d.host for d in host.limits.membership.demands("s", model.at)]
     return sorted(names, key=lambda n: zlib.crc32(f"{n} {number}".encode()))
 
 
 def _picked(model, host):
-    host.limits.roster.may_send(model.at)
+    host.limits.membership.may_send(model.at)
     allowed = []
     for number in range(model.case.targets):
         if not host.is_named[number]:
@@ -417,7 +417,7 @@
 
 def _granted(model, host):
     """Ask the owner of one target after the other until one grants."""
-    host.limits.roster.may_send(model.at)
+    host.limits.membership.may_send(model.at)
     numbers = list(range(model.case.targets))
     model.rng.shuffle(numbers)
     for number in numbers:
