--- a/packages/plumsaddle-core/plumsaddle_core/limits/named_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/advertised_test.py
@@ -6,7 +6,7 @@
 
 from hypothesis import given, strategies as st
 
-from .named import MAX_ROWS, NO_LIMIT, UNLISTED_FOR, AdvertisedLimits, LimitRow
+from .advertised import MAX_ROWS, NO_LIMIT, UNLISTED_FOR, AdvertisedLimits, LimitRow
 
 
 def _exchange(hosts, now):
--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
@@ -11,8 +11,8 @@
 
 import random
 
+from .advertised import AdvertisedLimits
 from .bucket import TokenBucket
-from .named import AdvertisedLimits
 from .shares import LimitedTarget, share_out
 
 # Requests a second that a target is sent at least over all hosts.
