--- a/packages/plumsaddle-core/plumsaddle_core/limits/roster_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/membership_test.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from .roster import (
+from .membership import (
     JOIN_FOR,
     LEASE,
     MEMBER_FOR,
--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
@@ -8,7 +8,7 @@
 
 from ..core.traffic import RequestKind, Target, TargetState
 from ..ops.choice import Demand
-from .roster import Membership
+from .membership import Membership
 from .targets import (
     RATE_LEAST,
     RETRY_AFTER_MOST,
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -18,8 +18,8 @@
 import math
 from collections import Counter, deque
 
+from ..limits.membership import Membership
 from ..limits.quotas import Quotas
-from ..limits.roster import Membership
 from ..limits.targets import TargetLimits
 from .belief import (
     FAILED_RATIO,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -13,9 +13,9 @@
 
 from plumsaddle_core.core.features import Feature
 from plumsaddle_core.core.traffic import SendOutcome, TargetState
+from plumsaddle_core.limits.membership import Membership
 from plumsaddle_core.limits.meter import Tolerance
 from plumsaddle_core.limits.quotas import Quotas
-from plumsaddle_core.limits.roster import Membership
 from plumsaddle_core.limits.targets import TargetLimits
 from plumsaddle_core.ops.choice import Candidate, Demand, Rule, choose_target
 from plumsaddle_core.ops.floor import Trials
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -15,7 +15,6 @@
 from plumsaddle_core.core.traffic import id_of_life
 from plumsaddle_core.limits.advertised import LimitRow
 from plumsaddle_core.limits.liveness import HostCount
-from plumsaddle_core.limits.advertised import LimitRow
 from plumsaddle_core.ops.news import DEFERRABLE_OUTCOMES
 from plumsaddle_core.ops.suspects import RunRecord
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
@@ -27,8 +27,8 @@
 
 from plumsaddle_core.core.traffic import Target, TargetState
 from plumsaddle_core.limits.bucket import TokenBucket
+from plumsaddle_core.limits.membership import Membership
 from plumsaddle_core.limits.meter import Meter
-from plumsaddle_core.limits.roster import Membership
 from plumsaddle_core.limits.targets import TargetLimits
 
 from .windows import LIMIT_HOLDS_AFTER, LIMIT_WINDOW, most_in_window, tolerated
