--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ..core.traffic import Workspace
-from ..ops.zone import Zone
+from ..ops.zone import SharedState
 from .liveness import GONE_AFTER, HostCount
 from .meter import Decayed, Tolerance
 from .quotas import FORGET_AFTER, Quotas
@@ -291,4 +291,4 @@
     Limits of which nothing is kept yet were taken for none, and replaced by others.
     """
     quotas = Quotas(EXACT)
-    assert Zone(0.2, 10.0, START, quotas=quotas).quotas is quotas
+    assert SharedState(0.2, 10.0, START, quotas=quotas).quotas is quotas
--- a/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
@@ -86,7 +86,7 @@
     def __init__(self):
         self._budgets = {}
 
-    def find(self, service, list_targets, zone, floor_share, now):
+    def find(self, service, list_targets, shared, floor_share, now):
         """
         Return the target that a request must try, or None.
 
@@ -95,18 +95,18 @@
           list_targets: A function that returns the ids of its usable targets, and the
             set of those that this host may try. It is asked only if a trial is due:
             with 240 targets that takes as long as all else that a choice does.
-          zone: The `Zone` that knows of their work.
+          shared: The `SharedState` that knows of their work.
           floor_share: The share of the targets that an installation asks for.
           now: The present, in seconds.
         """
         budget = self._budgets.setdefault(service, _Budget())
         budget.note_request()
-        if not budget.has_trial() and not zone.is_troubled(service, now):
+        if not budget.has_trial() and not shared.is_troubled(service, now):
             return None
         trial = find_trial(
             *list_targets(),
-            lambda target_id: zone.failing(target_id, now),
-            zone.used_at,
+            lambda target_id: shared.failing(target_id, now),
+            shared.used_at,
             floor_share,
             now,
         )
--- a/packages/plumsaddle-core/plumsaddle_core/ops/floor_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/floor_test.py
@@ -10,7 +10,7 @@
     Trials,
     find_trial,
 )
-from .zone import Zone
+from .zone import SharedState
 
 USED = {"a": 10.0, "b": 9.9, "c": 5.0, "d": 6.0}
 ALL_ALIKE = {"a": 0.1, "b": 0.1, "c": 0.1, "d": 0.1}
@@ -58,19 +58,19 @@
     A service with three requests a second and three targets has nearly all of them
     idle at any time; trying each of them all the time makes a third of its work trials.
     """
-    zone = Zone(0.2, 10.0, started=-100.0)
+    shared = SharedState(0.2, 10.0, started=-100.0)
     trials = Trials()
-    found = [trials.find("s", _both, zone, 0.7, 0.0) for _ in range(160)]
+    found = [trials.find("s", _both, shared, 0.7, 0.0) for _ in range(160)]
     tried = sum(1 for trial in found if trial is not None)
     assert 160 * TRIALS_PER_REQUEST <= tried <= 160 * TRIALS_PER_REQUEST + 1
 
 
 def test_trouble_lifts_the_bound_on_trials():
-    zone = Zone(0.2, 10.0, started=-100.0)
+    shared = SharedState(0.2, 10.0, started=-100.0)
     for _ in range(20):
-        zone.note_end("s", False, 0.0)
+        shared.note_end("s", False, 0.0)
     trials = Trials()
-    found = [trials.find("s", _both, zone, 0.7, 0.0) for _ in range(20)]
+    found = [trials.find("s", _both, shared, 0.7, 0.0) for _ in range(20)]
     assert None not in found
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -15,7 +15,7 @@
     tag_of,
 )
 from .registry import Registry
-from .zone import Zone
+from .zone import SharedState
 
 
 def _target(born, state=TargetState.READY, service="look"):
@@ -37,15 +37,15 @@
     It failed, died and started again under its id; the hosts still count the former
     life's failures and the work that died with it.
     """
-    zone = Zone(0.2, 10.0, started=-100.0)
+    shared = SharedState(0.2, 10.0, started=-100.0)
     former, present = _target(1000), _target(2000)
-    zone.start(former.life, 1.0)
-    zone.take(_news(1, {former.life: 2}), 1.0)
-    zone.note(former.life, "look", "r", HealthSignal.FAILED, 0.0, 1.0)
-    assert zone.fails(former.life, 1.0) > 0.5
-    assert zone.fails(present.life, 1.0) < 0.25
-    assert zone.in_flight(present.life) == 0
-    zone.end(former.life)
+    shared.start(former.life, 1.0)
+    shared.take(_news(1, {former.life: 2}), 1.0)
+    shared.note(former.life, "look", "r", HealthSignal.FAILED, 0.0, 1.0)
+    assert shared.fails(former.life, 1.0) > 0.5
+    assert shared.fails(present.life, 1.0) < 0.25
+    assert shared.in_flight(present.life) == 0
+    shared.end(former.life)
 
 
 def test_late_news_of_a_former_life_is_dropped():
@@ -55,16 +55,18 @@
     Two hosts learn of its restart at different times, and the later one still tells
     failures of the former life, near by and from another data centre.
     """
-    zone = Zone(0.2, 10.0, started=-100.0)
+    shared = SharedState(0.2, 10.0, started=-100.0)
     former, present = _target(1000), _target(2000)
-    zone.forget_targets({present.life}, 10.0)
-    before = zone.fails(present.life, 2.0)
-    zone.take(_news(1, {former.life: 1}, [(0, former.life, HealthSignal.FAILED)]), 2.0)
-    zone.take_far(RemoteUpdate("far", 7, (Evidence(0, former.life, 35.0),), ()), 2.0)
-    assert zone.fails(present.life, 2.0) == before
-    assert zone.in_flight(present.life) == 0
-    zone.forget_targets({present.life}, 10.0)
-    assert former.life not in zone.beliefs
+    shared.forget_targets({present.life}, 10.0)
+    before = shared.fails(present.life, 2.0)
+    shared.take(
+        _news(1, {former.life: 1}, [(0, former.life, HealthSignal.FAILED)]), 2.0
+    )
+    shared.take_far(RemoteUpdate("far", 7, (Evidence(0, former.life, 35.0),), ()), 2.0)
+    assert shared.fails(present.life, 2.0) == before
+    assert shared.in_flight(present.life) == 0
+    shared.forget_targets({present.life}, 10.0)
+    assert former.life not in shared.beliefs
 
 
 def test_the_registry_tells_a_restart_once():
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -78,7 +78,7 @@
         self.heard_at = 0.0
 
 
-class Zone:
+class SharedState:
     """
     The shared knowledge of a data centre's hosts, as one host holds it.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
@@ -9,11 +9,11 @@
 from .news import Counts, HealthSignal, OutcomeRecord, PeerUpdate, tag_of
 from .share import SPENT_PART, RetryShare
 from .times import USUAL_AT_FIRST
-from .zone import SILENT_AFTER, Zone
+from .zone import SILENT_AFTER, SharedState
 
 
-def _zone():
-    return Zone(0.2, 10.0, started=-100.0)
+def _shared():
+    return SharedState(0.2, 10.0, started=-100.0)
 
 
 def _news(number, outcomes=(), in_flight=None, counts=None, life=1, host="peer"):
@@ -30,42 +30,42 @@
 
     Messages repeat the last outcomes, so that a lost one costs nothing.
     """
-    zone, once = _zone(), _zone()
+    shared, once = _shared(), _shared()
     once.take(_news(1, [(0, "t", HealthSignal.FAILED)]), 1.0)
     for number in range(1, 6):
-        zone.take(_news(number, [(0, "t", HealthSignal.FAILED)]), 1.0)
-    assert zone.fails("t", 1.0) == once.fails("t", 1.0)
+        shared.take(_news(number, [(0, "t", HealthSignal.FAILED)]), 1.0)
+    assert shared.fails("t", 1.0) == once.fails("t", 1.0)
 
 
 def test_a_late_message_changes_nothing():
-    zone = _zone()
-    zone.take(_news(5, in_flight={"t": 3}), 1.0)
-    zone.take(_news(4, in_flight={"t": 1}), 1.1)
-    assert zone.in_flight("t") == 3
+    shared = _shared()
+    shared.take(_news(5, in_flight={"t": 3}), 1.0)
+    shared.take(_news(4, in_flight={"t": 1}), 1.1)
+    assert shared.in_flight("t") == 3
 
 
 def test_a_restarted_host_begins_anew():
-    zone = _zone()
-    zone.take(_news(500, in_flight={"t": 3}, life=1), 1.0)
-    zone.take(_news(1, in_flight={"t": 1}, life=2), 2.0)
-    assert zone.in_flight("t") == 1
+    shared = _shared()
+    shared.take(_news(500, in_flight={"t": 3}, life=1), 1.0)
+    shared.take(_news(1, in_flight={"t": 1}, life=2), 2.0)
+    assert shared.in_flight("t") == 1
 
 
 def test_the_work_of_a_silent_host_is_forgotten():
-    zone = _zone()
-    zone.take(_news(1, in_flight={"t": 4}), 1.0)
-    assert zone.forget_silent(1.1 + SILENT_AFTER) == ["peer"]
-    assert zone.in_flight("t") == 0
+    shared = _shared()
+    shared.take(_news(1, in_flight={"t": 4}), 1.0)
+    assert shared.forget_silent(1.1 + SILENT_AFTER) == ["peer"]
+    assert shared.in_flight("t") == 0
 
 
 def test_one_failure_convicts_and_time_or_an_answer_acquits():
-    zone = _zone()
-    zone.note("t", "look", "r", HealthSignal.FAILED, 0.001, 10.0)
-    assert zone.fails("t", 10.0) > 0.6
-    assert zone.fails("t", 30.0) < 0.3
-    zone.note("t", "look", "r", HealthSignal.SUCCEEDED, 0.3, 18.0)
-    zone.note("t", "look", "r", HealthSignal.SUCCEEDED, 0.3, 18.5)
-    assert zone.fails("t", 18.5) < 0.15
+    shared = _shared()
+    shared.note("t", "look", "r", HealthSignal.FAILED, 0.001, 10.0)
+    assert shared.fails("t", 10.0) > 0.6
+    assert shared.fails("t", 30.0) < 0.3
+    shared.note("t", "look", "r", HealthSignal.SUCCEEDED, 0.3, 18.0)
+    shared.note("t", "look", "r", HealthSignal.SUCCEEDED, 0.3, 18.5)
+    assert shared.fails("t", 18.5) < 0.15
 
 
 def test_work_that_is_always_long_convicts_nobody():
@@ -74,28 +74,28 @@
 
     A route's requests hang whatever their target does; another route's do not.
     """
-    zone = _zone()
+    shared = _shared()
     for number in range(40):
-        zone.note(f"t{number}", "look", "long", HealthSignal.STUCK, 0.0, 1.0)
-        zone.note(f"u{number}", "look", "short", HealthSignal.SUCCEEDED, 0.3, 1.0)
-    before = zone.fails("sound", 1.0)
-    zone.note("sound", "look", "long", HealthSignal.STUCK, 0.0, 1.0)
-    assert zone.fails("sound", 1.0) < before + 0.05
-    zone.note("hangs", "look", "short", HealthSignal.STUCK, 0.0, 1.0)
-    assert zone.fails("hangs", 1.0) > 0.5
+        shared.note(f"t{number}", "look", "long", HealthSignal.STUCK, 0.0, 1.0)
+        shared.note(f"u{number}", "look", "short", HealthSignal.SUCCEEDED, 0.3, 1.0)
+    before = shared.fails("sound", 1.0)
+    shared.note("sound", "look", "long", HealthSignal.STUCK, 0.0, 1.0)
+    assert shared.fails("sound", 1.0) < before + 0.05
+    shared.note("hangs", "look", "short", HealthSignal.STUCK, 0.0, 1.0)
+    assert shared.fails("hangs", 1.0) > 0.5
 
 
 def test_a_median_belongs_to_a_route():
     """
     Ordinary work looks stuck beside requests that take a millisecond.
     """
-    zone = _zone()
+    shared = _shared()
     for number in range(100):
-        zone.note("t", "look", "short", HealthSignal.SUCCEEDED, 0.001, number)
+        shared.note("t", "look", "short", HealthSignal.SUCCEEDED, 0.001, number)
         if number % 10 == 0:
-            zone.note("t", "look", "long", HealthSignal.SUCCEEDED, 0.4, number)
-    assert zone.times.usual("look", "long") == 0.4
-    assert zone.times.usual("look", "new") == 0.4
+            shared.note("t", "look", "long", HealthSignal.SUCCEEDED, 0.4, number)
+    assert shared.times.usual("look", "long") == 0.4
+    assert shared.times.usual("look", "new") == 0.4
 
 
 def test_a_new_route_is_taken_for_ordinary_work():
@@ -104,10 +104,10 @@
 
     Only a route that takes milliseconds is known of their service so far.
     """
-    zone = _zone()
+    shared = _shared()
     for number in range(10):
-        zone.note("t", "look", "short", HealthSignal.SUCCEEDED, 0.003, number)
-    assert zone.times.usual("look", "new") == USUAL_AT_FIRST
+        shared.note("t", "look", "short", HealthSignal.SUCCEEDED, 0.003, number)
+    assert shared.times.usual("look", "new") == USUAL_AT_FIRST
 
 
 def test_a_median_that_is_too_short_is_unlearned():
@@ -117,13 +117,13 @@
     The first answers of a route came quickly. All later sends take longer than three
     times that, count as stuck, and taught nothing.
     """
-    zone = _zone()
+    shared = _shared()
     for number in range(10):
-        zone.note("t", "look", "r", HealthSignal.SUCCEEDED, 0.003, number)
+        shared.note("t", "look", "r", HealthSignal.SUCCEEDED, 0.003, number)
     for number in range(20):
-        zone.note("t", "look", "r", HealthSignal.STUCK, 0.0, 10 + number)
-        zone.note("t", "look", "r", HealthSignal.LATE, 0.4, 10 + number)
-    assert zone.times.usual("look", "r") == 0.4
+        shared.note("t", "look", "r", HealthSignal.STUCK, 0.0, 10 + number)
+        shared.note("t", "look", "r", HealthSignal.LATE, 0.4, 10 + number)
+    assert shared.times.usual("look", "r") == 0.4
 
 
 def test_a_target_that_refuses_with_room_is_doubted_unless_all_do():
@@ -132,15 +132,15 @@
 
     A target refuses all work at once, so it is never busy and looks like the best.
     """
-    zone = _zone()
+    shared = _shared()
     for number in range(30):
-        zone.note(f"t{number}", "look", "r", HealthSignal.SUCCEEDED, 0.3, 1.0)
-    zone.note("alone", "look", "r", HealthSignal.SHED, 0.001, 1.0)
-    assert zone.fails("alone", 1.0) > 0.5
+        shared.note(f"t{number}", "look", "r", HealthSignal.SUCCEEDED, 0.3, 1.0)
+    shared.note("alone", "look", "r", HealthSignal.SHED, 0.001, 1.0)
+    assert shared.fails("alone", 1.0) > 0.5
     for _ in range(60):
-        zone.note("t1", "look", "r", HealthSignal.SHED, 0.001, 1.0)
-    zone.note("one of many", "look", "r", HealthSignal.SHED, 0.001, 1.0)
-    assert zone.fails("one of many", 1.0) < 0.25
+        shared.note("t1", "look", "r", HealthSignal.SHED, 0.001, 1.0)
+    shared.note("one of many", "look", "r", HealthSignal.SHED, 0.001, 1.0)
+    assert shared.fails("one of many", 1.0) < 0.25
 
 
 def test_hosts_together_keep_the_bound_on_retries():
@@ -151,20 +151,20 @@
     messages reach the others after the next request only.
     """
     rng = random.Random(3)
-    zones = [_zone() for _ in range(12)]
+    shared_states = [_shared() for _ in range(12)]
     requests, retries = 0, 0
     counts = [Counts()] * 12
     for step in range(1200):
         at = step / 120
         index = rng.randrange(12)
-        zone = zones[index]
-        zone.note_request("look", at)
+        shared = shared_states[index]
+        shared.note_request("look", at)
         requests += 1
-        if zone.may_retry("look", 20.0, at):
-            zone.note_retry("look", at)
+        if shared.may_retry("look", 20.0, at):
+            shared.note_retry("look", at)
             retries += 1
-        counts[index] = zone.own_counts()["look"]
-        for other, peer in enumerate(zones):
+        counts[index] = shared.own_counts()["look"]
+        for other, peer in enumerate(shared_states):
             if other != index:
                 news = _news(step, counts={"look": counts[index]}, host=str(index))
                 peer.take(news, at)
@@ -179,21 +179,21 @@
     All hosts are killed and come back within the window, and each of them knows
     nothing of what it spent before.
     """
-    zone = Zone(0.2, 10.0, started=50.0)
-    assert not zone.may_retry("look", 50.0, 51.0)
+    shared = SharedState(0.2, 10.0, started=50.0)
+    assert not shared.may_retry("look", 50.0, 51.0)
     for _ in range(20):
-        zone.note_request("look", 52.0)
-    assert zone.may_retry("look", 50.0, 52.0)
-    assert zone.may_retry("look", 50.0, 70.0)
+        shared.note_request("look", 52.0)
+    assert shared.may_retry("look", 50.0, 52.0)
+    assert shared.may_retry("look", 50.0, 70.0)
 
 
 def test_a_host_that_hears_few_takes_little():
-    zone = _zone()
+    shared = _shared()
     for number in range(11):
-        zone.take(_news(1, host=f"h{number}"), 1.0)
-    assert zone.may_retry("look", 12.0, 1.0)
-    zone.forget_silent(1.0 + 2 * SILENT_AFTER)
-    assert not zone.may_retry("look", 12.0, 1.0)
+        shared.take(_news(1, host=f"h{number}"), 1.0)
+    assert shared.may_retry("look", 12.0, 1.0)
+    shared.forget_silent(1.0 + 2 * SILENT_AFTER)
+    assert not shared.may_retry("look", 12.0, 1.0)
 
 
 def test_a_share_forgets_what_is_older_than_its_window():
@@ -238,19 +238,19 @@
     The requests in the killed hosts fail, and more than a tenth of the service's
     requests is not served, while sound targets stand idle.
     """
-    zone = _zone()
+    shared = _shared()
     for number in range(11):
-        zone.take(_news(1, host=f"h{number}"), 1.0)
-    assert not zone.is_troubled("look", 1.1)
+        shared.take(_news(1, host=f"h{number}"), 1.0)
+    assert not shared.is_troubled("look", 1.1)
     for number in range(5):
-        zone.take(_news(1, host=f"h{number}", life=2), 2.0)
-    assert zone.is_troubled("look", 2.0)
+        shared.take(_news(1, host=f"h{number}", life=2), 2.0)
+    assert shared.is_troubled("look", 2.0)
     for number in range(11):
-        zone.take(_news(9, host=f"h{number}", life=2), 8.0)
+        shared.take(_news(9, host=f"h{number}", life=2), 8.0)
     for number in range(11):
-        zone.take(_news(10, host=f"h{number}", life=2), 14.0)
-    assert not zone.is_troubled("look", 14.1)
-    assert zone.is_troubled("look", 17.0)
+        shared.take(_news(10, host=f"h{number}", life=2), 14.0)
+    assert not shared.is_troubled("look", 14.1)
+    assert shared.is_troubled("look", 17.0)
 
 
 def test_a_target_that_one_host_cannot_reach_is_sound_for_the_others():
@@ -260,7 +260,7 @@
     A fifth of the hosts have lost their paths to these targets. Their connections are
     not answered, and what they tell makes every other host avoid the targets too.
     """
-    cut, other = _zone(), _zone()
+    cut, other = _shared(), _shared()
     for number in range(12):
         at = number / 10
         cut.note("t", "look", "r", HealthSignal.UNREACHABLE, 0.3, at)
@@ -274,17 +274,17 @@
 
 
 def test_a_dead_target_is_known_after_three_silences_of_any_hosts():
-    zone = _zone()
+    shared = _shared()
     for number in range(3):
         news = _news(1, [(0, "t", HealthSignal.UNREACHABLE)], host=f"h{number}")
-        zone.take(news, 1.0)
-    assert zone.fails("t", 1.0) > 0.6
+        shared.take(news, 1.0)
+    assert shared.fails("t", 1.0) > 0.6
 
 
 def test_a_host_uses_a_path_again_when_it_has_healed():
-    zone = _zone()
-    zone.note("t", "look", "r", HealthSignal.UNREACHABLE, 0.3, 1.0)
-    assert zone.is_cut_off("t", 2.0)
-    assert not zone.is_cut_off("t", 20.0)
-    zone.note("t", "look", "r", HealthSignal.SUCCEEDED, 0.3, 2.0)
-    assert not zone.is_cut_off("t", 2.0)
+    shared = _shared()
+    shared.note("t", "look", "r", HealthSignal.UNREACHABLE, 0.3, 1.0)
+    assert shared.is_cut_off("t", 2.0)
+    assert not shared.is_cut_off("t", 20.0)
+    shared.note("t", "look", "r", HealthSignal.SUCCEEDED, 0.3, 2.0)
+    assert not shared.is_cut_off("t", 2.0)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
@@ -66,7 +66,7 @@
 
     def note_unanswered(self, target, key):
         """Take a send that was given up without an answer."""
-        suspects = self._knowledge.zone.suspects
+        suspects = self._knowledge.shared.suspects
         if suspects.has_crashed(target.life) or target.life in self._restarted:
             self._blame(target.life, [key])
             return
@@ -102,14 +102,14 @@
         self._asked = {k: t for k, t in self._asked.items() if at - t < ASKED_FOR}
         over = self._restarted.items()
         self._restarted = {life: t for life, t in over if at - t < ASKED_FOR}
-        suspects = self._knowledge.zone.suspects
+        suspects = self._knowledge.shared.suspects
         for life in {life for life, _ in self._asked if suspects.has_crashed(life)}:
             self._blame(life, self._drop(life))
         self._log_held(at)
 
     def _log_held(self, at):
         """Log which requests are held back from now on, and which not any more."""
-        suspects = self._knowledge.zone.suspects
+        suspects = self._knowledge.shared.suspects
         held = suspects.held_keys(at)
         for key in held - self._held:
             held_for = round(suspects.held_for(key, at), 1)
@@ -150,7 +150,7 @@
                     "target": life,
                     "key": key,
                     "beside": len(keys) - 1,
-                    "lives": self._knowledge.zone.suspects.crash_count(key),
+                    "lives": self._knowledge.shared.suspects.crash_count(key),
                 },
             )
         if keys:
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
@@ -61,7 +61,7 @@
 
     def ended(self, key):
         """Return how many lives ended under a request."""
-        return self.knowledge.zone.suspects.crash_count(key)
+        return self.knowledge.shared.suspects.crash_count(key)
 
 
 def _run(result, act):
@@ -140,7 +140,7 @@
         await asyncio.sleep(0.01)
         assert case.ended("a") == 0
         note = RunRecord("b", case.target.life, True)
-        case.knowledge.zone.suspects.add(note, 0.0)
+        case.knowledge.shared.suspects.add(note, 0.0)
         case.endings.tick(0.0)
 
     assert _run(Unconnected.SILENT, act).crash_count("a") == 1
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
@@ -144,7 +144,7 @@
             return self._refuse_over_limit(request, workspace, decision)
         answer = await self._take(request, route, owner, request_id, started, limit)
         if isinstance(answer, Refusal) and not answer.may_have_run:
-            self._knowledge.zone.quotas.release(workspace, now())
+            self._knowledge.shared.quotas.release(workspace, now())
         return answer
 
     def _refuse_over_limit(self, request, workspace, decision):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -36,7 +36,7 @@
     urgency,
 )
 from plumsaddle_core.ops.workspaces import index_keys, show_digest
-from plumsaddle_core.ops.zone import Zone
+from plumsaddle_core.ops.zone import SharedState
 
 from ..platform import wire
 from .clock import now
@@ -90,7 +90,7 @@
         self.registry = Registry()
         self.has_targets = False
         bounds = settings.bounds
-        self.zone = Zone(
+        self.shared = SharedState(
             bounds.retry_ratio,
             bounds.retry_window,
             now(),
@@ -107,7 +107,9 @@
             ),
         )
         self._answer_bytes = {}
-        self.limits = RateLimits(settings, self.zone.limits, self.registry, self._tell)
+        self.limits = RateLimits(
+            settings, self.shared.limits, self.registry, self._tell
+        )
         self._ranked = {}
         self._rates = {}
         self._trials = Trials()
@@ -157,10 +159,10 @@
         self.keys, shared = index_keys(cfg.workspaces)
         for digest in shared:
             log.error("shared key", extra={"key": show_digest(digest)})
-        self.zone.quotas.configure(cfg.workspaces, now())
+        self.shared.quotas.configure(cfg.workspaces, now())
         self._ranks = rank_services(cfg.routes, cfg.workspaces)
         names = {route.name for route in cfg.routes}
-        self.zone.times.keep(names)
+        self.shared.times.keep(names)
         kept = {
             name: size for name, size in self._answer_bytes.items() if name in names
         }
@@ -190,7 +192,7 @@
         for target_id in gone:
             log.info("unlisted", extra={"target": target_id})
         lives = self.registry.lives()
-        self.zone.forget_targets(lives, at)
+        self.shared.forget_targets(lives, at)
         self.limits.evict(lives)
 
     def _take_entry(self, record, at):
@@ -235,7 +237,7 @@
           workspace: The `Workspace`, or None for nobody's.
           at: The present, in seconds.
         """
-        decision = self.zone.quotas.acquire(workspace, at)
+        decision = self.shared.quotas.acquire(workspace, at)
         if not decision.is_admitted:
             # What was refused counts for the fleet's demand and is told too; what is
             # let through is told with its send.
@@ -303,7 +305,7 @@
             listed = self.registry.usable(service)
             ranked = rank_targets(listed, settings.id, settings.centre)
             self._ranked[service] = (self.registry.revision, ranked)
-        hosts = self.zone.hosts_heard()
+        hosts = self.shared.hosts_heard()
         subset = ranked.first(subset_size(len(ranked.near), hosts, rate))
         if not self.limits.are_any:
             return subset
@@ -319,7 +321,7 @@
         return self._trials.find(
             service,
             lambda: self._tryable(usable, at),
-            self.zone,
+            self.shared,
             self.settings.bounds.floor_share,
             at,
         )
@@ -330,7 +332,7 @@
             target.life
             for target in usable
             if target.centre == self.settings.centre
-            and not self.zone.is_cut_off(target.life, at)
+            and not self.shared.is_cut_off(target.life, at)
         }
         return [target.life for target in usable], near
 
@@ -338,12 +340,12 @@
         is_near = target.centre == self.settings.centre
         return Candidate(
             target,
-            self.zone.fails(target.life, at),
-            self.zone.in_flight(target.life),
+            self.shared.fails(target.life, at),
+            self.shared.in_flight(target.life),
             at < target.read_at + target.cold_for,
             is_near,
             Feature.OPEN_CONNECTIONS not in self.settings.off and has_link(target.life),
-            is_near or self.zone.knows_load(target.centre, at),
+            is_near or self.shared.knows_load(target.centre, at),
             self.limits.wait(target, at),
         )
 
@@ -351,7 +353,7 @@
         """Return the `Demand` of a request by now."""
         return Demand(
             route.kind,
-            self.zone.times.usual(service, route.name),
+            self.shared.times.usual(service, route.name),
             started + route.objective - at,
             deadline - at,
             kilobytes,
@@ -383,19 +385,19 @@
         """
         centres = max(1, len(self.settings.centres))
         extra = self.settings.bounds.retry_extra / centres
-        return self.zone.may_retry(service, extra, now(), retries_part(urgent))
+        return self.shared.may_retry(service, extra, now(), retries_part(urgent))
 
     # What the relay tells.
 
     def start(self, target):
         """Count a send that starts."""
-        self.zone.start(target.life, now())
+        self.shared.start(target.life, now())
         self.limits.acquire(target, now())
         self._tell(is_urgent=False)
 
     def end(self, target):
         """Count a send that ended."""
-        self.zone.end(target.life)
+        self.shared.end(target.life)
         self._tell(is_urgent=False)
 
     def note(self, target, route, fate, seconds):
@@ -416,11 +418,11 @@
         targets like that, one request in five was refused, one in a hundred with this.
         """
         is_near = target.centre == self.settings.centre
-        return is_near and self.zone.in_flight(target.life) < target.slots
+        return is_near and self.shared.in_flight(target.life) < target.slots
 
     def note_run(self, note):
         """Take a `RunNote` of this host's own."""
-        if self.zone.suspects.add(note, now(), is_own=True):
+        if self.shared.suspects.add(note, now(), is_own=True):
             self._tell(is_urgent=True)
 
     def note_late(self, target, route, seconds):
@@ -430,7 +432,7 @@
     def _note(self, target, route, sign, seconds):
         if sign is None:
             return
-        self.zone.note(target.life, target.service, route.name, sign, seconds, now())
+        self.shared.note(target.life, target.service, route.name, sign, seconds, now())
         self._tell(is_urgent=sign not in DEFERRABLE_OUTCOMES)
 
     def _tell(self, is_urgent):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
@@ -48,7 +48,7 @@
     seconds, and targets close idle connections after ten.
     """
     knowledge = _knowledge(200)
-    knowledge.zone.hosts_heard = lambda: 45
+    knowledge.shared.hosts_heard = lambda: 45
     knowledge._rates["act"] = _SteadyRate()
     assert len({_choose(knowledge)[0] for _ in range(300)}) <= 48
 
@@ -62,7 +62,7 @@
     knowledge = _knowledge(200)
     kept_to = {target.id for target in knowledge._subset("act", _usable(knowledge), 1)}
     for target_id in kept_to:
-        knowledge.zone.note(target_id, "act", "r", HealthSignal.FAILED, 0.0, now())
+        knowledge.shared.note(target_id, "act", "r", HealthSignal.FAILED, 0.0, now())
     assert _choose(knowledge)[0] not in kept_to
 
 
@@ -94,8 +94,8 @@
     knowledge = _knowledge(4, off=frozenset())
     at = now()
     for target_id in ("t0", "t1", "t2"):
-        knowledge.zone.start(target_id, at)
+        knowledge.shared.start(target_id, at)
     if is_cut_off:
-        knowledge.zone.note("t3", "act", "r", HealthSignal.UNREACHABLE, 0.3, at)
+        knowledge.shared.note("t3", "act", "r", HealthSignal.UNREACHABLE, 0.3, at)
     chosen, rule = _choose(knowledge)
     assert (chosen == "t3" and rule is Rule.FLOOR_TRIAL) is not is_cut_off
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -97,7 +97,7 @@
             registry.note_store_back,
             registry.note_store_returned,
         )
-        suspects = self.knowledge.zone.suspects
+        suspects = self.knowledge.shared.suspects
         self.stored = StoredSuspects(self.store, suspects, gate)
         self.endings = Endings(
             self.knowledge, self.links, self.metrics, self.stored.write_soon
@@ -133,7 +133,7 @@
                 SELDOM,
             ),
         ]
-        self.peers = Peers(settings, self.knowledge.zone, gate, self._feeds, rng)
+        self.peers = Peers(settings, self.knowledge.shared, gate, self._feeds, rng)
         configurations = self._feeds[0]
         self.knowledge.subscribe(
             self.peers.tell_soon, self._end_life, configurations.age
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -20,15 +20,15 @@
 
     Args:
       settings: The `HostSettings`.
-      zone: The `Zone` whose news are told.
+      shared: The `SharedState` whose news are told.
       life: The host's life, drawn at its start.
       send: Called with bytes and the address to send them to.
       rng: A `random.Random`, which draws whom to tell while no hub is known.
     """
 
-    def __init__(self, settings, zone, life, send, rng):
+    def __init__(self, settings, shared, life, send, rng):
         self._settings = settings
-        self._zone = zone
+        self._shared = shared
         self._life = life
         self._send = send
         self._rng = rng
@@ -40,9 +40,9 @@
     @property
     def has_urgent_news(self):
         """Whether something was seen here that makes a target or a request worse."""
-        has_runs = self._zone.suspects.near_record_count != self._runs_told
-        has_limits = self._zone.limits.advertised.has_remote_pending
-        return has_runs or has_limits or self._zone.evidence.has_untold
+        has_runs = self._shared.suspects.near_record_count != self._runs_told
+        has_limits = self._shared.limits.advertised.has_remote_pending
+        return has_runs or has_limits or self._shared.evidence.has_untold
 
     def note_hub(self, centre, address, at):
         """Note which host has spoken for another data centre."""
@@ -58,11 +58,12 @@
           at: The present, in seconds.
         """
         settings = self._settings
-        suspects = self._zone.suspects
+        suspects = self._shared.suspects
         runs = [tuple(note) for note in suspects.near_records(at)]
         self._runs_told = suspects.near_record_count
         evidence = [
-            (e.number, e.target, round(e.ratio, 3)) for e in self._zone.evidence.take()
+            (e.number, e.target, round(e.ratio, 3))
+            for e in self._shared.evidence.take()
         ]
         if Feature.FAR_EVIDENCE in settings.off:
             evidence = []
@@ -75,7 +76,7 @@
 
     def _limit_rows(self, is_periodic):
         """Return targets' rate limits to tell: what changed, and at times others."""
-        named = self._zone.limits.advertised
+        named = self._shared.limits.advertised
         rows = named.remote_rows()
         if is_periodic:
             rows += named.anti_entropy_rows(LIMITS_REPEATED, self._rng)
@@ -92,9 +93,9 @@
             settings.id,
             self._life,
             self._load_number,
-            self._zone.load(),
-            local_hosts=tuple(self._zone.quotas.local_hosts()),
-            quotas=[tuple(row) for row in self._zone.quotas.remote_rows(at)],
+            self._shared.load(),
+            local_hosts=tuple(self._shared.quotas.local_hosts()),
+            quotas=[tuple(row) for row in self._shared.quotas.remote_rows(at)],
         )
         self._send_to_each(encode(load), at)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -81,7 +81,7 @@
 
     Args:
       settings: The `HostSettings`.
-      zone: The `Zone` that this host's knowledge is kept in.
+      shared: The `SharedState` that this host's knowledge is kept in.
       gate: The `Gate` that tells how the host stands to the store.
       feeds: Each `Feed` of the host.
       rng: A `random.Random`, which draws whom to name and to tell elsewhere.
@@ -89,9 +89,9 @@
         if None.
     """
 
-    def __init__(self, settings, zone, gate, feeds, rng=random, call_later=None):
+    def __init__(self, settings, shared, gate, feeds, rng=random, call_later=None):
         self._settings = settings
-        self._zone = zone
+        self._shared = shared
         self._rng = rng
         self._call_later = call_later or _call_later
         for feed in feeds:
@@ -107,11 +107,11 @@
         self._sent_at = {}
         self._neighbours = PeerTable(settings.peers, settings.link)
         self._readers = Readers(gate, feeds, self._neighbours, self._send)
-        self._others = OtherCentres(settings, zone, self._life, self._send, rng)
+        self._others = OtherCentres(settings, shared, self._life, self._send, rng)
         self._collected = Collected()
         self._taking = Taking(
             settings,
-            zone,
+            shared,
             self._neighbours,
             self._readers,
             self._others,
@@ -171,16 +171,16 @@
     def beat(self, at):
         """Tell the others that this host lives, and look for others."""
         self._neighbours.forget_silent(at)
-        for host in self._zone.forget_silent(at):
+        for host in self._shared.forget_silent(at):
             log.info("silent", extra={"peer": host})
-        self._zone.quotas.tick(at)
+        self._shared.quotas.tick(at)
         self._pick_hub(at)
         self._send_work(at, self._make_beat(at))
         if self._picked_itself() and self._may_act_alone(at):
-            self._others.tell_news(self._zone.near_used(at - FAR_EVERY), at)
+            self._others.tell_news(self._shared.near_used(at - FAR_EVERY), at)
         else:
             # The hub tells it for all.
-            self._zone.evidence.take()
+            self._shared.evidence.take()
         if not len(self._neighbours) or self._others.strangers.are_few(at):
             self._ask(at)
 
@@ -227,7 +227,7 @@
         if self._picked_itself():
             if self._collected.clients(at):
                 # Its clients hear it directly.
-                self._zone.limits.membership.note_reached(at)
+                self._shared.limits.membership.note_reached(at)
             if self._may_act_alone(at):
                 self._others.tell_load(at)
         elif not self._collected.clients(at):
@@ -295,29 +295,29 @@
         self._number += 1
         outcomes = [
             (o.number, o.target, o.service, o.route, o.sign, round(o.seconds, 4))
-            for o in self._zone.outcomes.take()
+            for o in self._shared.outcomes.take()
         ]
         counts = {}
         if beat is not None or at - self._counted_at >= COUNTS_EVERY:
             self._counted_at = at
-            counts = self._zone.own_counts()
+            counts = self._shared.own_counts()
         return Work(
             self._settings.id,
             self._settings.peers,
             self._life,
             self._number,
-            self._zone.own_in_flight(),
+            self._shared.own_in_flight(),
             outcomes,
             counts,
             beat,
-            [tuple(note) for note in self._zone.suspects.own_records(at)],
-            [tuple(row) for row in self._zone.quotas.local_rows(at)],
+            [tuple(note) for note in self._shared.suspects.own_records(at)],
+            [tuple(row) for row in self._shared.quotas.local_rows(at)],
             [tuple(row) for row in self._limit_rows(beat)],
         )
 
     def _limit_rows(self, beat):
         """Return targets' rate limits to tell: what changed, and at times others."""
-        named = self._zone.limits.advertised
+        named = self._shared.limits.advertised
         rows = named.local_rows()
         if beat is not None:
             most = MAX_ROWS if self._picked_itself() else LIMITS_REPEATED
@@ -331,7 +331,7 @@
         sums = None
         if self._is_sums_due(at):
             self._summed_at = at
-            sums = self._zone.far_sums(at)
+            sums = self._shared.far_sums(at)
         for_all, for_clients = self._collected.take(sums)
         everyone = self._neighbours.addresses()
         clients = self._collected.clients(at)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -18,7 +18,7 @@
 )
 from plumsaddle_core.ops.news import HealthSignal, tag_of
 from plumsaddle_core.ops.suspects import RunRecord
-from plumsaddle_core.ops.zone import Zone
+from plumsaddle_core.ops.zone import SharedState
 
 from ..platform.store import KeyedRecord, Page
 from . import peers as module
@@ -57,12 +57,12 @@
         settings_ = HostSettings(
             name, centre, CENTRES, "", "", address, seeds, "", Bounds(), link
         )
-        zone = Zone(0.2, 10.0, started=-100.0)
+        shared = SharedState(0.2, 10.0, started=-100.0)
         gate = Gate(_ignore, _ignore, _ignore)
-        peers = Peers(settings_, zone, gate, [], self._rng, self.call_later)
+        peers = Peers(settings_, shared, gate, [], self._rng, self.call_later)
         peers.connection_made(_Transport(self, address))
         self.hosts[address] = peers
-        return peers, zone, address
+        return peers, shared, address
 
     def call_later(self, seconds, function):
         """Call a function the next time that all is delivered."""
@@ -184,8 +184,8 @@
     """
     hosts = _fleet(net)
     hub = _hub(net, hosts[:3])
-    peers, zone, _ = next(host for host in hosts[:3] if host[2] != hub)
-    zone.note("t", "act", "r", HealthSignal.FAILED, 0.001, net.at)
+    peers, shared, _ = next(host for host in hosts[:3] if host[2] != hub)
+    shared.note("t", "act", "r", HealthSignal.FAILED, 0.001, net.at)
     peers.tell_soon(is_urgent=True)
     net.deliver()
     for _, other, _ in hosts[:3]:
@@ -196,9 +196,9 @@
 
 def _end_target(net, host):
     """Let a target end under a request of a host."""
-    peers, zone, _ = host
+    peers, shared, _ = host
     note = RunRecord("key", "life", True)
-    zone.suspects.add(note, net.at, is_own=True)
+    shared.suspects.add(note, net.at, is_own=True)
     peers.tell_soon(is_urgent=True)
 
 
@@ -212,7 +212,7 @@
     hub = _hub(net, hosts[:3])
     _end_target(net, next(host for host in hosts[:3] if host[2] != hub))
     net.deliver()
-    assert [zone.suspects.crash_count("key") for _, zone, _ in hosts] == [1] * 6
+    assert [shared.suspects.crash_count("key") for _, shared, _ in hosts] == [1] * 6
 
 
 def test_an_end_is_told_again_to_hosts_that_did_not_hear_it(net):
@@ -244,12 +244,12 @@
     """Bytes between data centres are paid for, and most outcomes change nothing."""
     hosts = _fleet(net)
     hub = _hub(net, hosts[:3])
-    peers, zone, address = next(host for host in hosts[:3] if host[2] != hub)
+    peers, shared, address = next(host for host in hosts[:3] if host[2] != hub)
     for _ in range(6):
-        zone.note("t", "act", "r", HealthSignal.SUCCEEDED, 0.2, net.at)
+        shared.note("t", "act", "r", HealthSignal.SUCCEEDED, 0.2, net.at)
     peers.tell_soon(is_urgent=False)
     net.deliver()
-    zone.note("t", "act", "r", HealthSignal.SUCCEEDED, 0.2, net.at)
+    shared.note("t", "act", "r", HealthSignal.SUCCEEDED, 0.2, net.at)
     peers.tell_soon(is_urgent=False)
     sent = []
     while net.sent or net._later:
@@ -273,17 +273,17 @@
         assert peers._others.strangers.some(net.at)
     net.cut.add(hosts[3][2])
     net.play(HUB_KNOWN_FOR + 0.1)
-    peers, zone, _ = hosts[1]
+    peers, shared, _ = hosts[1]
     for number in range(40):
-        zone.note(f"t{number}", "act", "r", HealthSignal.FAILED, 0.001, net.at)
+        shared.note(f"t{number}", "act", "r", HealthSignal.FAILED, 0.001, net.at)
         # The gateway is drawn anew while no hub there is known, and each note goes out
         # twice.
         peers.beat(net.at)
         net.deliver()
     peers.beat(net.at)
     net.deliver()
-    for _, zone, _ in hosts[4:]:
-        known = sum(zone.fails(f"t{number}", net.at) > 0.5 for number in range(40))
+    for _, shared, _ in hosts[4:]:
+        known = sum(shared.fails(f"t{number}", net.at) > 0.5 for number in range(40))
         # Two of three gateways are up, so one note in nine is lost twice.
         assert known >= 30
 
@@ -295,8 +295,8 @@
     The time of day went back while it was down, so its life looked like an older one.
     """
     hosts = _fleet(net, 2)
-    peers, zone, address = hosts[0]
-    zone.start("t", net.at)
+    peers, shared, address = hosts[0]
+    shared.start("t", net.at)
     peers.tell_soon(is_urgent=False)
     net.deliver()
     again, fresh, _ = hosts[0]
@@ -339,12 +339,12 @@
     A datagram that made its reader raise would close the socket for good.
     """
     made = Net()
-    peers, zone, address = made.add("x0", "x")
-    zone.start("t", made.at)
+    peers, shared, address = made.add("x0", "x")
+    shared.start("t", made.at)
     peers.datagram_received(data, ("10.0.0.9", 7000))
     peers.beat(made.at)
-    assert zone.in_flight("t") == 1
-    assert 0.0 < zone.fails("t", made.at) < 1.0
+    assert shared.in_flight("t") == 1
+    assert 0.0 < shared.fails("t", made.at) < 1.0
 
 
 def test_work_in_flight_is_known_elsewhere(net):
@@ -354,16 +354,16 @@
     Each data centre counted its own work alone, and half of all work leaves it.
     """
     hosts = _fleet(net)
-    for peers, zone, _ in hosts[:2]:
-        zone.start("t", net.at)
+    for peers, shared, _ in hosts[:2]:
+        shared.start("t", net.at)
         peers.tell_soon(is_urgent=False)
     net.deliver()
     net.play(0.5)
-    for _, zone, _ in hosts:
-        assert zone.in_flight("t") == 2
-    for _, zone, _ in hosts[3:]:
-        assert zone.knows_load("x", net.at)
-        assert not zone.knows_load("x", net.at + LOAD_FOR)
+    for _, shared, _ in hosts:
+        assert shared.in_flight("t") == 2
+    for _, shared, _ in hosts[3:]:
+        assert shared.knows_load("x", net.at)
+        assert not shared.knows_load("x", net.at + LOAD_FOR)
 
 
 def test_the_next_host_tells_the_sums_when_the_hub_is_lost(net):
@@ -378,8 +378,8 @@
     net.deliver()
     net.cut.add(hub)
     net.play(LOAD_FOR + HUB_SILENT_FOR)
-    assert all(zone.in_flight("t") == 1 for _, zone, _ in hosts[3:])
-    assert all(zone.knows_load("x", net.at) for _, zone, _ in hosts[3:])
+    assert all(shared.in_flight("t") == 1 for _, shared, _ in hosts[3:])
+    assert all(shared.knows_load("x", net.at) for _, shared, _ in hosts[3:])
 
 
 def test_one_host_tells_the_sums_while_all_are_well(net):
@@ -411,8 +411,8 @@
     net.play(HUB_SILENT_FOR + 2 * HUB_EVERY)
     left = [host for host in hosts[:4] if host[2] != hub]
     assert _hub(net, left) != hub
-    peers, zone, _ = left[-1]
-    zone.note("t", "act", "r", HealthSignal.FAILED, 0.001, net.at)
+    peers, shared, _ = left[-1]
+    shared.note("t", "act", "r", HealthSignal.FAILED, 0.001, net.at)
     peers.tell_soon(is_urgent=True)
     net.deliver()
     for _, other, _ in left:
@@ -437,7 +437,7 @@
     frozen[1].start("t", net.at)
     frozen[0].tell_soon(is_urgent=False)
     net.deliver()
-    assert all(zone.in_flight("t") == 1 for _, zone, _ in left)
+    assert all(shared.in_flight("t") == 1 for _, shared, _ in left)
     net.play(AVOIDED_FOR)
     assert _hub(net, hosts[:4]) == hub
 
@@ -469,14 +469,14 @@
     others = [host for host in hosts[:4] if host[2] != apart[2]]
     for _ in range(round(UNHEARD_FOR / HUB_EVERY) + 2):
         # The hub goes on telling all hosts of the others' work.
-        for peers, zone, _ in others:
-            zone.note("u", "act", "r", HealthSignal.SUCCEEDED, 0.2, net.at)
+        for peers, shared, _ in others:
+            shared.note("u", "act", "r", HealthSignal.SUCCEEDED, 0.2, net.at)
             peers.tell_soon(is_urgent=False)
         net.play(HUB_EVERY)
     apart[1].start("t", net.at)
     apart[0].tell_soon(is_urgent=False)
     net.deliver()
-    assert all(zone.in_flight("t") == 1 for _, zone, _ in hosts[:4])
+    assert all(shared.in_flight("t") == 1 for _, shared, _ in hosts[:4])
 
 
 def test_a_host_that_cannot_hear_the_hub_hears_of_all_work(net):
@@ -490,12 +490,12 @@
     apart = next(host for host in hosts[:4] if host[2] != hub)
     net.broken |= {(hub, apart[2]), (apart[2], hub)}
     net.play(HUB_SILENT_FOR + 2 * HUB_EVERY)
-    for number, (peers, zone, _) in enumerate(hosts[:4]):
-        zone.start(f"t{number}", net.at)
+    for number, (peers, shared, _) in enumerate(hosts[:4]):
+        shared.start(f"t{number}", net.at)
         peers.tell_soon(is_urgent=False)
     net.deliver()
-    for _, zone, _ in hosts[:4]:
-        assert [zone.in_flight(f"t{number}") for number in range(4)] == [1, 1, 1, 1]
+    for _, shared, _ in hosts[:4]:
+        assert [shared.in_flight(f"t{number}") for number in range(4)] == [1, 1, 1, 1]
 
 
 @pytest.mark.parametrize("count", [6, 24, 60])
@@ -511,14 +511,14 @@
     net.play(4.0 + CLIENT_FOR)
     hub = _hub(net, hosts)
     net.sent.clear()
-    for peers, zone, address in hosts:
+    for peers, shared, address in hosts:
         if address != hub:
-            zone.start("t", net.at)
+            shared.start("t", net.at)
             peers.tell_soon(is_urgent=False)
     net.run_calls()
     assert len(net.sent) == count - 1
     net.deliver()
-    assert all(zone.in_flight("t") == count - 1 for _, zone, _ in hosts)
+    assert all(shared.in_flight("t") == count - 1 for _, shared, _ in hosts)
 
 
 def test_hosts_that_start_together_do_not_all_speak_for_their_data_centre(net):
@@ -568,11 +568,11 @@
     Hosts know of nobody's work any more, since one host runs another release and its
     messages stand first in each bundle.
     """
-    peers, zone, _ = net.add("x0", "x")
+    peers, shared, _ = net.add("x0", "x")
     work = Work("x1", "10.0.0.9:7000", 1, 1, {tag_of("t"): 1}, [], {})
     raws = [msgspec.Raw(encode(["w", "strange"])), msgspec.Raw(encode(work))]
     peers.datagram_received(encode(Bundle(works=raws)), ("10.0.0.8", 7000))
-    assert zone.in_flight("t") == 1
+    assert shared.in_flight("t") == 1
 
 
 def test_urgent_news_never_waits_longer_than_calm_news(net):
@@ -580,7 +580,7 @@
     A failure is told later than the work before it, because the allowance for failures
     was used up just then.
     """
-    peers, zone, _ = _fleet(net, 4)[0]
+    peers, shared, _ = _fleet(net, 4)[0]
     waits = []
     peers._call_later = lambda seconds, function: (
         waits.append(seconds) or _Call(function)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -95,12 +95,12 @@
         if refusal is not None:
             # It counts neither for the service's retries nor for its state.
             return refusal
-        self._knowledge.zone.note_request(ask.service, now())
+        self._knowledge.shared.note_request(ask.service, now())
         self._runs.add(run)
         try:
             answer = await run.serve()
             is_served = isinstance(answer, Reply) and answer.status < 500
-            self._knowledge.zone.note_end(ask.service, is_served, now())
+            self._knowledge.shared.note_end(ask.service, is_served, now())
             return answer
         finally:
             self._runs.discard(run)
@@ -176,7 +176,9 @@
 
     def _usual(self):
         """Return the usual seconds of such a request."""
-        return self._knowledge.zone.times.usual(self._ask.service, self._ask.route.name)
+        return self._knowledge.shared.times.usual(
+            self._ask.service, self._ask.route.name
+        )
 
     async def _wait(self):
         """Wait for a send to end, for the moment of a second send, or the deadline."""
@@ -338,7 +340,7 @@
             return self._refuse(Cause.NO_ROOM)
         target = choice.candidate.target
         if retry_cause is not None and self._attempt.sends:
-            self._knowledge.zone.note_retry(ask.service, at)
+            self._knowledge.shared.note_retry(ask.service, at)
             self._metrics.retries.inc({"cause": retry_cause})
         log.info(
             "sent",
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
@@ -35,7 +35,7 @@
     def __init__(self, ask, attempt, knowledge, endings):
         self._ask = ask
         self._attempt = attempt
-        self._suspects = knowledge.zone.suspects
+        self._suspects = knowledge.shared.suspects
         self._knowledge = knowledge
         self._endings = endings
         self._is_off = Feature.HOLDING_BACK in knowledge.settings.off
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -65,7 +65,7 @@
 
     Args:
       settings: The `HostSettings`.
-      zone: The `Zone` that this host's knowledge is kept in.
+      shared: The `SharedState` that this host's knowledge is kept in.
       neighbours: The `PeerTable`.
       readers: The `Readers`.
       others: The `OtherCentres`.
@@ -73,9 +73,9 @@
       ways: The `Ways`.
     """
 
-    def __init__(self, settings, zone, neighbours, readers, others, collected, ways):
+    def __init__(self, settings, shared, neighbours, readers, others, collected, ways):
         self._settings = settings
-        self._zone = zone
+        self._shared = shared
         self._neighbours = neighbours
         self._readers = readers
         self._others = others
@@ -100,13 +100,13 @@
         """
         if isinstance(message, Work):
             self._collected.note_client(address, at)
-            runs_known = self._zone.suspects.near_record_count
-            limits_known = self._zone.limits.advertised.revision
+            runs_known = self._shared.suspects.near_record_count
+            limits_known = self._shared.limits.advertised.revision
             if self._take_work(message, at):
                 self._collected.add_work(message.host, data)
                 is_calm = all(row[4] in DEFERRABLE_OUTCOMES for row in message.outcomes)
-                has_runs = self._zone.suspects.near_record_count > runs_known
-                has_limits = self._zone.limits.advertised.revision != limits_known
+                has_runs = self._shared.suspects.near_record_count > runs_known
+                has_limits = self._shared.limits.advertised.revision != limits_known
                 self._ways.send_soon(has_runs or has_limits or not is_calm)
         elif isinstance(message, Bundle):
             self._take_bundle(message, address, at)
@@ -133,12 +133,12 @@
             return False
         # Only news counts as a word of the host: a hub that wakes from a freeze passes
         # on what its clients said seconds ago.
-        if not self._zone.take(news_of(work), at):
+        if not self._shared.take(news_of(work), at):
             return False
         self._neighbours.hear(work.address, at)
         self._take_runs(work.runs, True, at)
         self._take_limits(work.limits, work.host, True, at)
-        self._zone.quotas.merge_local(work.host, work.life, work.quotas, at)
+        self._shared.quotas.merge_local(work.host, work.life, work.quotas, at)
         if work.beat is not None:
             self._take_beat(work.beat, work.address, at)
         return True
@@ -148,7 +148,7 @@
         sent_at = self._ways.echo_of(work)
         if sent_at is not None:
             self._neighbours.take_echo(sent_at, at)
-            self._zone.limits.membership.note_reached(sent_at)
+            self._shared.limits.membership.note_reached(sent_at)
 
     def _take_beat(self, beat, address, at):
         self._neighbours.describe(address, beat.link, beat.contact)
@@ -160,7 +160,7 @@
         """Take what a hub tells, and pass it on to hosts that tell this one."""
         self._neighbours.hear(address, at)
         self._neighbours.hear_hub(address, at)
-        self._zone.quotas.note_hub(at)
+        self._shared.quotas.note_hub(at)
         works = [
             raw
             for raw, work in _decode_each(bundle.works, decode_work, address)
@@ -173,7 +173,7 @@
         ]
         sums = far_sums_of(bundle)
         if sums is not None and not self._picked_itself():
-            self._zone.take_far_sums(sums, at)
+            self._shared.take_far_sums(sums, at)
         if not self._picked_itself():
             for asked in bundle.asked:
                 self._take_asked(asked.centre, asked.hosts, asked.rows, at)
@@ -184,23 +184,23 @@
     def _take_asked(self, centre, hosts, rows, at):
         """Take what workspaces asked of another data centre."""
         if centre != self._settings.centre:
-            self._zone.quotas.merge_remote(centre, HostCount(*hosts), rows, at)
+            self._shared.quotas.merge_remote(centre, HostCount(*hosts), rows, at)
 
     def _take_far_news(self, far, at):
         """Take news of another data centre, and return whether it was any."""
         has_runs = self._take_runs(far.runs, False, at)
         has_limits = self._take_limits(far.limits, far.host, False, at)
-        return self._zone.take_far(far_news_of(far), at) or has_runs or has_limits
+        return self._shared.take_far(far_news_of(far), at) or has_runs or has_limits
 
     def _take_runs(self, rows, is_near, at):
         """Take what became of targets under requests; return whether it was news."""
-        suspects = self._zone.suspects
+        suspects = self._shared.suspects
         news = [suspects.add(RunRecord(*row), at, is_near=is_near) for row in rows]
         return any(news)
 
     def _take_limits(self, rows, host, is_near, at):
         """Take rate limits that targets named to others; return whether any is new."""
-        limits = self._zone.limits.advertised
+        limits = self._shared.limits.advertised
         has_news = False
         for row in map(LimitRow._make, rows):
             former = limits.rate(row.life)
@@ -232,7 +232,7 @@
         if not load.is_passed_on:
             self._others.note_hub(load.centre, address, at)
         if self._picked_itself():
-            self._zone.take_far_load(far_load_of(load), at)
+            self._shared.take_far_load(far_load_of(load), at)
             self._take_asked(load.centre, load.hosts, load.quotas, at)
             self._collected.add_asked(load.centre, load.hosts, load.quotas)
             if load.quotas and self._collected.clients(at):
--- a/packages/plumsaddle-standins/plumsaddle_standins/crashes.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/crashes.py
@@ -229,7 +229,7 @@
     def _find_causes(self, path, method, host):
         """Return what truly ended each target that a host blames on a request."""
         key = request_key(method, path, [(b"host", HOST_NAME.encode())], b"")
-        suspects = self._trial.hosts[host].knowledge.zone.suspects
+        suspects = self._trial.hosts[host].knowledge.shared.suspects
         causes = {crash.target: crash.path for crash in self._trial.crashes}
         return [
             causes.get(life.partition("~")[0]) for life in suspects.crashed_lives(key)
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_crash_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_crash_test.py
@@ -105,7 +105,7 @@
         for host in trial.hosts:
             await host.shut()
         late = await trial.add_host(2, seeds=[])
-        suspects = late.knowledge.zone.suspects
+        suspects = late.knowledge.shared.suspects
         await until(lambda: len(suspects), KNOWN_AFTER)
         assert await _ask_until_held(trial, "/look/bad", 2) == 0
         assert len(trial.crashes) == ended
@@ -149,7 +149,7 @@
             worker.deadly = {}
         key = next(iter(topic.newest))
         trial.store.put("keyed.suspects", key, b"")
-        known = [host.knowledge.zone.suspects for host in trial.hosts]
+        known = [host.knowledge.shared.suspects for host in trial.hosts]
         await until(lambda: not any(suspects.crash_count(key) for suspects in known))
         for host in (0, 1):
             status, _, _ = await trial.ask("/look/bad", f"again-{host}", host=host)
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_lives_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_lives_test.py
@@ -63,17 +63,17 @@
         worker.mode = Mode.ERRORS
         for number in range(3):
             await trial.ask("/look/a", f"id-{number}")
-        zone = trial.hosts[0].knowledge.zone
+        shared = trial.hosts[0].knowledge.shared
         former = trial.hosts[0].knowledge.registry.targets[worker.id].life
-        assert zone.fails(former, now()) > 0.5
+        assert shared.fails(former, now()) > 0.5
         trial.store.fault = Fault.OUT
         await asyncio.sleep(0.3)
         trial.store.put(TARGETS, worker.id, worker.entry(born=BORN_AGAIN))
         trial.store.fault = Fault.NONE
         targets = trial.hosts[0].knowledge.registry.targets
         await until(lambda: targets[worker.id].born == BORN_AGAIN)
-        assert zone.fails(targets[worker.id].life, now()) < 0.3
-        assert former not in zone.beliefs
+        assert shared.fails(targets[worker.id].life, now()) < 0.3
+        assert former not in shared.beliefs
 
 
 @pytest.mark.parametrize(
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_quota_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_quota_test.py
@@ -23,7 +23,7 @@
     # Hosts hear of each other within two beats.
     near = len(trial.hosts) // len(trial.centres)
     await until(
-        lambda: all(h.knowledge.zone.hosts_heard() == near for h in trial.hosts)
+        lambda: all(h.knowledge.shared.hosts_heard() == near for h in trial.hosts)
     )
 
 
@@ -111,7 +111,7 @@
         await _press(trial, 3.0, 0.02)
         hosts = trial.hosts
         decisions = [
-            host.knowledge.zone.quotas.acquire(
+            host.knowledge.shared.quotas.acquire(
                 host.knowledge.cfg.workspaces[0], host.store_gate._answered_at
             )
             for host in hosts
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_rate_limit_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_rate_limit_test.py
@@ -69,7 +69,7 @@
     """Let all targets name a limit, and wait until all hosts know of all."""
     for worker in trial.workers.values():
         worker.rate_limit = limit
-    named = [host.knowledge.zone.limits.advertised for host in trial.hosts]
+    named = [host.knowledge.shared.limits.advertised for host in trial.hosts]
     number = 0
     while any(len(limits) < len(trial.workers) for limits in named):
         number += 1
@@ -113,12 +113,12 @@
     """Guards against a target that is left alone after it has recovered."""
     async with Trial(("look",), targets=2, hosts=3) as trial:
         await name_at_all(trial, "2")
-        rosters = [host.knowledge.zone.limits.membership for host in trial.hosts]
+        rosters = [host.knowledge.shared.limits.membership for host in trial.hosts]
         await until(lambda: all(roster.may_send(now()) for roster in rosters))
         for worker in trial.workers.values():
             worker.rate_limit = None
         await press(trial, 2.0, 0.02)
-        named = [host.knowledge.zone.limits.advertised for host in trial.hosts]
+        named = [host.knowledge.shared.limits.advertised for host in trial.hosts]
         await until(lambda: not any(named), 2.0)
         answers = await press(trial, 1.0, 0.02)
         assert {status for status, _, _ in answers} == {200}
@@ -130,7 +130,7 @@
     async with Trial(("look",), targets=2, hosts=2) as trial:
         await name_at_all(trial, "0.5")
         late = await trial.add_host(2)
-        limits = late.knowledge.zone.limits.advertised
+        limits = late.knowledge.shared.limits.advertised
         await until(lambda: late.knowledge.is_complete and len(limits) == 2, 4.0)
         before = sum(len(worker.arrivals) for worker in trial.workers.values())
         for number in range(40):
@@ -151,7 +151,7 @@
             if hub_order(f"127.0.0.1:{port}") < min(map(hub_order, former))
         )
         late = await trial.add_host(2, peers_port=port)
-        limits = late.knowledge.zone.limits.advertised
+        limits = late.knowledge.shared.limits.advertised
         await until(lambda: late.knowledge.is_complete and len(limits) == 2, 4.0)
         neighbours = [host.peers._neighbours for host in trial.hosts]
         hubs = {None, late.settings.peers}
@@ -183,7 +183,7 @@
         trial.workers["look-0"].rate_limit = "0.5"
         trial.set_mode("look", mode)
         await trial.ask("/look/a", "one")
-        limits = trial.hosts[0].knowledge.zone.limits.advertised
+        limits = trial.hosts[0].knowledge.shared.limits.advertised
         assert len(limits) == 1
 
 
@@ -199,7 +199,7 @@
         for number in range(3):
             await trial.ask("/look/a", f"rejected-{number}")
             await asyncio.sleep(0.2)
-        limits = trial.hosts[0].knowledge.zone.limits.advertised
+        limits = trial.hosts[0].knowledge.shared.limits.advertised
         assert len(worker.arrivals) >= 2
         assert len(limits) == 1
 
@@ -212,14 +212,14 @@
         worker.rate_limit = "20"
         await trial.ask("/look/a", "one")
         trial.set_mode("look", Mode.SHED)
-        zone = trial.hosts[0].knowledge.zone
+        shared = trial.hosts[0].knowledge.shared
         (life,) = trial.hosts[0].knowledge.registry.lives()
-        before = zone.fails(life, asyncio.get_running_loop().time())
+        before = shared.fails(life, asyncio.get_running_loop().time())
         for number in range(5):
             await trial.ask("/look/a", f"rejected-{number}")
             await asyncio.sleep(0.1)
         assert len(worker.arrivals) >= 4
-        after = zone.fails(life, asyncio.get_running_loop().time())
+        after = shared.fails(life, asyncio.get_running_loop().time())
         assert after == pytest.approx(before, abs=0.05)
 
 
@@ -280,12 +280,12 @@
     async with Trial(("act",), targets=1) as trial:
         answer = await ask_delayed(trial)
         host = trial.hosts[0]
-        host.knowledge.zone.limits.membership.may_send = lambda now: False
+        host.knowledge.shared.limits.membership.may_send = lambda now: False
         status, headers, _ = await answer
         assert status == 503
         assert float(headers["Retry-After"]) > 0.0
         assert trial.workers["act-0"].runs["delayed"] == 0
-        assert not host.knowledge.zone.own_in_flight()
+        assert not host.knowledge.shared.own_in_flight()
 
 
 @in_loop
@@ -300,7 +300,7 @@
         worker = trial.workers["act-0"]
         assert worker.runs["delayed"] == 0
         # Neither its place nor its token is lost.
-        assert not host.knowledge.zone.own_in_flight()
+        assert not host.knowledge.shared.own_in_flight()
         assert (await trial.ask("/act/a", "next", "POST"))[0] == 200
 
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
@@ -241,12 +241,12 @@
         busy = knowledge.registry.targets["look-1"]
         # Work of other hosts, as they have told it.
         for _ in range(busy.slots):
-            knowledge.zone.start(busy.life, now())
+            knowledge.shared.start(busy.life, now())
         asked = asyncio.ensure_future(trial.ask("/look/a", "id-9"))
         await asyncio.sleep(1.0)
         assert not trial.workers["look-1"].runs
         for _ in range(busy.slots):
-            knowledge.zone.end(busy.life)
+            knowledge.shared.end(busy.life)
         status, _, _ = await asked
         assert trial.workers["look-0"].runs["id-9"] == 1
         assert status == 200
@@ -275,8 +275,8 @@
         assert after - before == 5
         knowledge = trial.hosts[0].knowledge
         lives = [knowledge.registry.targets[w.id].life for w in trial.of("look")]
-        assert all(life in knowledge.zone.beliefs for life in lives)
-        assert max(knowledge.zone.fails(life, now()) for life in lives) < 0.2
+        assert all(life in knowledge.shared.beliefs for life in lives)
+        assert max(knowledge.shared.fails(life, now()) for life in lives) < 0.2
 
 
 @in_loop
@@ -332,9 +332,9 @@
     async with Trial(services=("up",), targets=1) as trial:
         host = trial.hosts[0]
         task = asyncio.ensure_future(trial.ask("/up/a", "id-1", "POST", parts()))
-        await until(lambda: host.knowledge.zone.own_in_flight())
+        await until(lambda: host.knowledge.shared.own_in_flight())
         task.cancel()
-        await until(lambda: not host.knowledge.zone.own_in_flight(), 1.0)
+        await until(lambda: not host.knowledge.shared.own_in_flight(), 1.0)
         assert not trial.workers["up-0"].runs
 
 
@@ -439,8 +439,8 @@
     the target anything.
     """
     async with Trial(services=("act",), targets=2, hosts=2) as trial:
-        await until(lambda: trial.hosts[0].knowledge.zone.hosts_heard() == 2)
-        await until(lambda: trial.hosts[1].knowledge.zone.hosts_heard() == 2)
+        await until(lambda: trial.hosts[0].knowledge.shared.hosts_heard() == 2)
+        await until(lambda: trial.hosts[1].knowledge.shared.hosts_heard() == 2)
         trial.workers["act-0"].mode = Mode.ERRORS
         for number in range(6):
             await trial.ask("/act/a", f"id-{number}", "POST", host=0)
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -32,7 +32,7 @@
 from plumsaddle_core.ops.choice import Candidate, Demand, choose_target
 from plumsaddle_core.ops.floor import Trials
 from plumsaddle_core.ops.news import HealthSignal, RemoteLoad, RemoteUpdate
-from plumsaddle_core.ops.zone import Zone
+from plumsaddle_core.ops.zone import SharedState
 
 SERVICE = ServiceName("orders")
 ROUTE = "order"
@@ -132,7 +132,9 @@
         self._is_shared = is_shared
         self._load_number = 0
         self.rng = random.Random(seed)
-        self.zones = [Zone(0.2, 10.0, started=-100.0) for _ in shape.targets]
+        self.shared_states = [
+            SharedState(0.2, 10.0, started=-100.0) for _ in shape.targets
+        ]
         self.workers = {}
         spells = random.Random(seed + 1)
         for centre, count in enumerate(shape.targets):
@@ -171,10 +173,10 @@
     def _arrive(self, at, centre):
         pause = self.rng.expovariate(self.shape.rates[centre])
         self._push(at + pause, self._arrive, centre)
-        zone = self.zones[centre]
+        shared = self.shared_states[centre]
         host = self.rng.randrange(HOSTS)
         worker, load = self._ways[centre](self, centre, host, at)
-        zone.start(worker.target.id, at)
+        shared.start(worker.target.id, at)
         worker.sent_at.append(at)
         worker.waiting.append((centre, at, load))
         self.sent += 1
@@ -203,40 +205,40 @@
         worker.busy -= 1
         self.served += is_whole
         self.in_time += is_whole and at - started <= OBJECTIVE * self.shape.work
-        zone = self.zones[centre]
-        zone.end(worker.target.id)
+        shared = self.shared_states[centre]
+        shared.end(worker.target.id)
         sign = HealthSignal.SUCCEEDED if is_whole else HealthSignal.FAILED
         work = (at - started) / load
-        zone.note(worker.target.id, SERVICE, ROUTE, sign, work, at)
-        zone.note_end(SERVICE, is_whole, at)
-        if zone.evidence.has_untold and self._is_shared:
+        shared.note(worker.target.id, SERVICE, ROUTE, sign, work, at)
+        shared.note_end(SERVICE, is_whole, at)
+        if shared.evidence.has_untold and self._is_shared:
             self._push(at + FAR_SECONDS, self._tell_far, centre, ())
         self._work(at, worker)
 
     def _beat(self, at, centre):
         """Tell the other data centres which targets had work in the last second."""
         self._push(at + 1.0, self._beat, centre)
-        used = tuple(self.zones[centre].near_used(at - 1.0))
+        used = tuple(self.shared_states[centre].near_used(at - 1.0))
         self._push(at + FAR_SECONDS, self._tell_far, centre, used)
 
     def _tell_far(self, at, centre, used):
-        evidence = self.zones[centre].evidence.take()
-        for other, zone in enumerate(self.zones):
+        evidence = self.shared_states[centre].evidence.take()
+        for other, shared in enumerate(self.shared_states):
             if other != centre and (evidence or used):
-                zone.take_far(RemoteUpdate(str(centre), 1, evidence, used), at)
+                shared.take_far(RemoteUpdate(str(centre), 1, evidence, used), at)
 
     def _tell_load(self, at, centre):
         """Tell the other data centres what is in flight."""
         self._push(at + LOAD_EVERY, self._tell_load, centre)
         self._load_number += 1
-        counts = self.zones[centre].load()
+        counts = self.shared_states[centre].load()
         load = RemoteLoad(str(centre), "host", 1, self._load_number, counts)
         self._push(at + FAR_SECONDS, self._take_load, centre, load)
 
     def _take_load(self, at, centre, load):
-        for other, zone in enumerate(self.zones):
+        for other, shared in enumerate(self.shared_states):
             if other != centre:
-                zone.take_far_load(load, at)
+                shared.take_far_load(load, at)
 
     def _look(self, at):
         """Count the moments at which too few of the sound targets are in use."""
@@ -262,20 +264,20 @@
 
 
 def _by_belief(model, centre, candidate_ids, at):
-    zone = model.zones[centre]
+    shared = model.shared_states[centre]
     candidates = [
         Candidate(
             model.workers[target_id].target,
-            zone.fails(target_id, at),
-            zone.in_flight(target_id),
+            shared.fails(target_id, at),
+            shared.in_flight(target_id),
             is_cold=False,
             is_near=_is_in(model, target_id, centre),
             is_counted=_is_in(model, target_id, centre)
-            or zone.knows_load(model.workers[target_id].target.centre, at),
+            or shared.knows_load(model.workers[target_id].target.centre, at),
         )
         for target_id in candidate_ids
     ]
-    usual = zone.times.usual(SERVICE, ROUTE)
+    usual = shared.times.usual(SERVICE, ROUTE)
     work = model.shape.work
     demand = Demand(RequestKind.ORDER, usual, OBJECTIVE * work, TIME_LIMIT * work, 1.0)
     choice = choose_target(candidates, demand, model.rng)
@@ -292,9 +294,9 @@
 
     def choose(model, centre, host, at):
         near = set(model.near(centre))
-        zone = model.zones[centre]
+        shared = model.shared_states[centre]
         trial = hosts[host].find(
-            SERVICE, lambda: (list(model.workers), near), zone, FLOOR_SHARE, at
+            SERVICE, lambda: (list(model.workers), near), shared, FLOOR_SHARE, at
         )
         if trial is not None:
             return _by_belief(model, centre, [trial], at)
@@ -324,9 +326,9 @@
     recent = {}
 
     def choose(model, centre, host, at):
-        zone = model.zones[centre]
-        # The outcomes that the zone repeats are the last ones that it was told.
-        for outcome in zone.outcomes.last():
+        shared = model.shared_states[centre]
+        # The outcomes that the shared state repeats are the last ones that it was told.
+        for outcome in shared.outcomes.last():
             ends = recent.setdefault(outcome.target, deque(maxlen=kept))
             if not ends or outcome.number > ends[-1][0]:
                 ends.append(
@@ -341,7 +343,7 @@
         near = model.near(centre)
         usable = [t for t in near if not is_out(t)] or near
         model.rng.shuffle(usable)
-        return model.workers[min(usable, key=zone.in_flight)], 1.0
+        return model.workers[min(usable, key=shared.in_flight)], 1.0
 
     return choose
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
@@ -24,7 +24,7 @@
 from plumsaddle_core.core.traffic import Bounds, HostSettings
 from plumsaddle_core.ops.news import HealthSignal
 from plumsaddle_core.ops.suspects import RunRecord
-from plumsaddle_core.ops.zone import Zone
+from plumsaddle_core.ops.zone import SharedState
 from plumsaddle_hosts.edge import peers as module
 from plumsaddle_hosts.edge.gate import Gate
 from plumsaddle_hosts.edge.peers import Peers
@@ -111,16 +111,16 @@
             Bounds(),
             link,
         )
-        zone = Zone(0.2, 10.0, started=0.0)
+        shared = SharedState(0.2, 10.0, started=0.0)
         gate = Gate(_ignore, _ignore, _ignore)
-        peers = Peers(settings, zone, gate, [], self._rng, self._call_later)
+        peers = Peers(settings, shared, gate, [], self._rng, self._call_later)
         if not has_hub:
             peers._neighbours.pick_hub = lambda at: False
         peers.connection_made(_Transport(self, number, address))
-        self._hosts[address] = (peers, zone)
+        self._hosts[address] = (peers, shared)
         self._push(self._rng.random(), self._beat, peers)
         self._push(self._rng.random(), self._tick, peers)
-        self._push(1.0 + self._rng.random(), self._start, peers, zone)
+        self._push(1.0 + self._rng.random(), self._start, peers, shared)
 
     def run(self):
         """Play, and return the `Cost` of a host and second after the warm-up."""
@@ -154,8 +154,8 @@
         address = self._rng.choice([a for a in self._hosts if a != hub])
         if has_hub_lost:
             self._lost.add(hub)
-        peers, zone = self._hosts[address]
-        zone.suspects.add(RunRecord("key", "life", True), self.at, is_own=True)
+        peers, shared = self._hosts[address]
+        shared.suspects.add(RunRecord("key", "life", True), self.at, is_own=True)
         peers.tell_soon(is_urgent=True)
         begin = self.at
         while self.at - begin < SPREAD_MOST and not self._is_known_to_all():
@@ -196,25 +196,25 @@
     def _tick(self, peers):
         self._push(self._measure(peers.tick, self.at), self._tick, peers)
 
-    def _start(self, peers, zone):
-        self._push(self._rng.expovariate(RATE), self._start, peers, zone)
+    def _start(self, peers, shared):
+        self._push(self._rng.expovariate(RATE), self._start, peers, shared)
         target = self._rng.choice(self._targets)
         self._true[target] = self._true.get(target, 0) + 1
-        zone.start(target, self.at)
+        shared.start(target, self.at)
         self._measure(peers.tell_soon, False)
         seconds = self._rng.expovariate(1 / WORK)
-        self._push(seconds, self._end, peers, zone, target, seconds)
+        self._push(seconds, self._end, peers, shared, target, seconds)
 
-    def _end(self, peers, zone, target, seconds):
+    def _end(self, peers, shared, target, seconds):
         self._true[target] -= 1
-        zone.end(target)
-        zone.note(target, "s", "r", HealthSignal.SUCCEEDED, seconds, self.at)
+        shared.end(target)
+        shared.note(target, "s", "r", HealthSignal.SUCCEEDED, seconds, self.at)
         self._measure(peers.tell_soon, False)
 
     def _sample(self):
         self._push(SAMPLE_EVERY, self._sample)
-        _, zone = self._rng.choice(list(self._hosts.values()))
-        known = [zone.in_flight(target) for target in self._targets]
+        _, shared = self._rng.choice(list(self._hosts.values()))
+        known = [shared.in_flight(target) for target in self._targets]
         true = [self._true.get(target, 0) for target in self._targets]
         off = sum(abs(a - b) for a, b in zip(known, true, strict=True))
         self._errors.append(off / len(self._targets))
