--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -17,9 +17,9 @@
     DataCentre,
     HostId,
     KeyDigest,
-    LifeId,
     ServiceName,
     TargetId,
+    TargetIncarnation,
     WorkspaceName,
 )
 
@@ -80,8 +80,8 @@
 def _life_of(target_id, born):
     """Return a life's name; each choice asks for those of all targets."""
     if not born:
-        return LifeId(target_id)
-    return LifeId(f"{target_id}~{born & 0xFFFFFFFF:x}")
+        return TargetIncarnation(target_id)
+    return TargetIncarnation(f"{target_id}~{born & 0xFFFFFFFF:x}")
 
 
 def id_of_life(life):
--- a/packages/plumsaddle-core/plumsaddle_core/limits/advertised.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/advertised.py
@@ -14,7 +14,7 @@
 import math
 from typing import NamedTuple
 
-from ..core.ids import LifeId
+from ..core.ids import TargetIncarnation
 
 # The rate of an entry that says that a target names no limit any more.
 NO_LIMIT = -1.0
@@ -33,7 +33,7 @@
     `rate` is in requests a second over all hosts, or `NO_LIMIT`.
     """
 
-    life: LifeId
+    life: TargetIncarnation
     version: int
     rate: float
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/shares.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/shares.py
@@ -15,7 +15,7 @@
 import zlib
 from typing import NamedTuple
 
-from ..core.ids import HostId, LifeId
+from ..core.ids import HostId, TargetIncarnation
 
 # Seconds of the limits that allow for one request of each host that takes part.
 # Each of them may hold a token, so it bounds the burst.
@@ -38,7 +38,7 @@
 class LimitedTarget(NamedTuple):
     """A target, and the requests a second that it takes from all hosts."""
 
-    life: LifeId
+    life: TargetIncarnation
     rate: float
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/news.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/news.py
@@ -13,7 +13,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from ..core.ids import DataCentre, HostId, LifeId, ServiceName
+from ..core.ids import DataCentre, HostId, ServiceName, TargetIncarnation
 
 # Notes kept for telling. A host whose allowance is used up tells some tens of
 # outcomes together; what is older than these is not worth telling any more.
@@ -44,7 +44,7 @@
     """One outcome: its number at the host that saw it, and what it saw."""
 
     number: int
-    target: LifeId
+    target: TargetIncarnation
     service: ServiceName
     route: str
     sign: HealthSignal
@@ -59,7 +59,7 @@
     """
 
     number: int
-    target: LifeId
+    target: TargetIncarnation
     ratio: float
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -22,7 +22,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from ..core.ids import LifeId, RequestKey
+from ..core.ids import RequestKey, TargetIncarnation
 
 # Lives that end under a request, less those that answered it, until it is held back.
 # Two may be chance, where many targets crash for other reasons.
@@ -62,7 +62,7 @@
     """What became of one life of a target that ran a request: it ended, or answered."""
 
     key: RequestKey
-    life: LifeId
+    life: TargetIncarnation
     has_ended: bool
 
 
