--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -65,7 +65,7 @@
     born: int = 0
 
     @property
-    def life(self):
+    def incarnation(self):
         """
         The name of this life, under which hosts keep and tell what they know of it.
 
@@ -84,7 +84,7 @@
     return TargetIncarnation(f"{target_id}~{born & 0xFFFFFFFF:x}")
 
 
-def id_of_life(life):
+def target_id_of(life):
     """Return the id of the target that an incarnation's name belongs to."""
     return TargetId(life.partition("~")[0])
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
@@ -71,19 +71,22 @@
         if not self.advertised or not targets:
             return targets
         named = self.advertised
-        if not any(named.rate(target.life) is not None for target in targets):
+        if not any(named.rate(target.incarnation) is not None for target in targets):
             return targets
         buckets = self._service(targets, centre, revision, now).buckets
         return [
             target
             for target in targets
-            if named.rate(target.life) is None
-            or (target.life in buckets and buckets[target.life].wait(now) <= longest)
+            if named.rate(target.incarnation) is None
+            or (
+                target.incarnation in buckets
+                and buckets[target.incarnation].wait(now) <= longest
+            )
         ]
 
     def wait(self, target, now):
         """Return the seconds until a request may be sent to an admitted target."""
-        if self.advertised.rate(target.life) is None:
+        if self.advertised.rate(target.incarnation) is None:
             return 0.0
         bucket = self._bucket(target)
         return bucket.wait(now) if bucket is not None else 0.0
@@ -119,7 +122,7 @@
 
     def _bucket(self, target):
         service = self._services.get(target.service)
-        return service.buckets.get(target.life) if service is not None else None
+        return service.buckets.get(target.incarnation) if service is not None else None
 
     def _service(self, targets, centre, revision, now):
         """Return the `_Service` of targets, its shares brought up to date."""
@@ -132,9 +135,12 @@
         if service.key != key:
             service.key = key
             limited = [
-                LimitedTarget(t.life, max(RATE_LEAST, self.advertised.rate(t.life)))
+                LimitedTarget(
+                    t.incarnation, max(RATE_LEAST, self.advertised.rate(t.incarnation))
+                )
                 for t in targets
-                if t.centre == centre and self.advertised.rate(t.life) is not None
+                if t.centre == centre
+                and self.advertised.rate(t.incarnation) is not None
             ]
             service.total = sum(target.rate for target in limited)
             shares = {}
--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
@@ -30,7 +30,7 @@
 
 def _name(limits, rate, targets):
     for target in targets:
-        limits.advertised.observe(target.life, rate, 0.0, 0.0)
+        limits.advertised.observe(target.incarnation, rate, 0.0, 0.0)
 
 
 def _sends(limits, targets, seconds, every=0.01):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -39,13 +39,13 @@
     """
     shared = SharedState(0.2, 10.0, started=-100.0)
     former, present = _target(1000), _target(2000)
-    shared.start(former.life, 1.0)
-    shared.take(_news(1, {former.life: 2}), 1.0)
-    shared.note(former.life, "look", "r", HealthSignal.FAILED, 0.0, 1.0)
-    assert shared.fails(former.life, 1.0) > 0.5
+    shared.start(former.incarnation, 1.0)
+    shared.take(_news(1, {former.incarnation: 2}), 1.0)
+    shared.note(former.incarnation, "look", "r", HealthSignal.FAILED, 0.0, 1.0)
+    assert shared.fails(former.incarnation, 1.0) > 0.5
     assert shared.fails(present.life, 1.0) < 0.25
     assert shared.in_flight(present.life) == 0
-    shared.end(former.life)
+    shared.end(former.incarnation)
 
 
 def test_late_news_of_a_former_life_is_dropped():
@@ -60,13 +60,18 @@
     shared.forget_targets({present.life}, 10.0)
     before = shared.fails(present.life, 2.0)
     shared.take(
-        _news(1, {former.life: 1}, [(0, former.life, HealthSignal.FAILED)]), 2.0
+        _news(
+            1, {former.incarnation: 1}, [(0, former.incarnation, HealthSignal.FAILED)]
+        ),
+        2.0,
+    )
+    shared.take_far(
+        RemoteUpdate("far", 7, (Evidence(0, former.incarnation, 35.0),), ()), 2.0
     )
-    shared.take_far(RemoteUpdate("far", 7, (Evidence(0, former.life, 35.0),), ()), 2.0)
     assert shared.fails(present.life, 2.0) == before
     assert shared.in_flight(present.life) == 0
     shared.forget_targets({present.life}, 10.0)
-    assert former.life not in shared.beliefs
+    assert former.incarnation not in shared.beliefs
 
 
 def test_the_registry_tells_a_restart_once():
@@ -74,7 +79,7 @@
     assert registry.put(_target(1000), 1, 0.0) is None
     assert registry.put(_target(1000, TargetState.LEAVING), 2, 1.0) is None
     former = registry.put(_target(2000), 3, 2.0)
-    assert former.life == _target(1000).life
+    assert former.incarnation == _target(1000).incarnation
     assert registry.put(_target(2000), 4, 3.0) is None
     # A record of before that is read later, as from a listing, is no restart.
     assert registry.put(_target(1000), 2, 4.0) is None
--- a/packages/plumsaddle-core/plumsaddle_core/ops/registry.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/registry.py
@@ -74,7 +74,7 @@
         self.revision += 1
         self.targets[target.id] = target
         self.by_service.setdefault(target.service, {})[target.id] = target
-        has_restarted = former is not None and former.life != target.life
+        has_restarted = former is not None and former.incarnation != target.incarnation
         return former if has_restarted else None
 
     def reject(self, target_id, offset):
@@ -90,7 +90,7 @@
 
     def lives(self):
         """Return the lives of all listed targets."""
-        return {target.life for target in self.targets.values()}
+        return {target.incarnation for target in self.targets.values()}
 
     def drop(self, gone, now):
         """
--- a/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
@@ -61,7 +61,9 @@
       host: The host's id.
       centre: The host's data centre.
     """
-    ranked = sorted(targets, key=lambda t: zlib.crc32(f"{host} {t.life}".encode()))
+    ranked = sorted(
+        targets, key=lambda t: zlib.crc32(f"{host} {t.incarnation}".encode())
+    )
     near = [target for target in ranked if target.centre == centre]
     away = [target for target in ranked if target.centre != centre]
     return Ranked(near, away)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
@@ -58,30 +58,36 @@
           key: The request's key.
         """
         self.note_unanswered(target, key)
-        if (target.life, key) not in self._asked or target.life in self._looks:
+        if (
+            target.incarnation,
+            key,
+        ) not in self._asked or target.incarnation in self._looks:
             return
         task = asyncio.get_running_loop().create_task(self._look(target))
-        self._looks[target.life] = task
-        task.add_done_callback(lambda _: self._looks.pop(target.life, None))
+        self._looks[target.incarnation] = task
+        task.add_done_callback(lambda _: self._looks.pop(target.incarnation, None))
 
     def note_unanswered(self, target, key):
         """Take a send that was given up without an answer."""
         suspects = self._knowledge.shared.suspects
-        if suspects.has_crashed(target.life) or target.life in self._restarted:
-            self._blame(target.life, [key])
+        if (
+            suspects.has_crashed(target.incarnation)
+            or target.incarnation in self._restarted
+        ):
+            self._blame(target.incarnation, [key])
             return
         if not self._knowledge.is_usable(target):
             # One that is leaving, or gone from the list, ends as it should.
             return
         if len(self._asked) >= ASKED_MOST:
             self._asked.pop(next(iter(self._asked)))
-        self._asked[target.life, key] = now()
+        self._asked[target.incarnation, key] = now()
 
     def note_refused(self, target):
         """Take a refused connection: the target has ended, whatever it last ran."""
-        keys = self._drop(target.life)
+        keys = self._drop(target.incarnation)
         if self._knowledge.is_usable(target):
-            self._blame(target.life, keys)
+            self._blame(target.incarnation, keys)
 
     def note_restarted(self, life):
         """Take a target's start under its id, which ended its former life."""
@@ -130,8 +136,8 @@
         if link is Unconnected.REFUSED:
             self.note_refused(target)
         elif link is not Unconnected.SILENT:
-            self._links.put_unused(target.life, link)
-            self._drop(target.life)
+            self._links.put_unused(target.incarnation, link)
+            self._drop(target.incarnation)
 
     def _drop(self, life):
         """Forget the questions about a life, and return the requests that it ran."""
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
@@ -99,7 +99,7 @@
 
     case = _run(ALIVE, act)
     assert case.ended("a") == 0
-    assert case.links.kept == [case.target.life]
+    assert case.links.kept == [case.target.incarnation]
 
 
 @pytest.mark.parametrize("state", [TargetState.LEAVING, None])
@@ -139,7 +139,7 @@
         case.endings.note_broken(case.target, "a")
         await asyncio.sleep(0.01)
         assert case.ended("a") == 0
-        note = RunRecord("b", case.target.life, True)
+        note = RunRecord("b", case.target.incarnation, True)
         case.knowledge.shared.suspects.add(note, 0.0)
         case.endings.tick(0.0)
 
@@ -149,7 +149,7 @@
 def test_a_restart_under_the_same_id_ends_what_ran_in_the_former_life():
     async def act(case):
         case.endings.note_unanswered(case.target, "early")
-        case.endings.note_restarted(case.target.life)
+        case.endings.note_restarted(case.target.incarnation)
         # Its connections are closed after that, which breaks the others.
         case.endings.note_broken(case.target, "late")
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -218,9 +218,11 @@
             },
         )
         if former is not None:
-            log.info("restarted", extra={"target": target.id, "former": former.life})
+            log.info(
+                "restarted", extra={"target": target.id, "former": former.incarnation}
+            )
             if self._on_ended is not None:
-                self._on_ended(former.life)
+                self._on_ended(former.incarnation)
 
     def expire(self, at):
         """Drop what has lapsed."""
@@ -283,7 +285,7 @@
         may_try = not excluded and Feature.FLOOR_TRIALS not in self.settings.off
         trial = self._find_trial(service, usable, at) if may_try else None
         if trial is not None:
-            tried = [target for target in usable if target.life == trial]
+            tried = [target for target in usable if target.incarnation == trial]
             choice = self._choose_among(tried, demand, has_link, at)
             return choice._replace(rule=Rule.FLOOR_TRIAL)
         rate = self._rates.setdefault(service, Rate()).note(at)
@@ -309,8 +311,8 @@
         subset = ranked.first(subset_size(len(ranked.near), hosts, rate))
         if not self.limits.are_any:
             return subset
-        lives = {target.life for target in usable}
-        return [target for target in subset if target.life in lives]
+        lives = {target.incarnation for target in usable}
+        return [target for target in subset if target.incarnation in lives]
 
     def _choose_among(self, targets, demand, has_link, at):
         candidates = [self._weigh(target, has_link, at) for target in targets]
@@ -329,22 +331,23 @@
     def _tryable(self, usable, at):
         """Return the lives of targets, and those that this host may try."""
         near = {
-            target.life
+            target.incarnation
             for target in usable
             if target.centre == self.settings.centre
-            and not self.shared.is_cut_off(target.life, at)
+            and not self.shared.is_cut_off(target.incarnation, at)
         }
-        return [target.life for target in usable], near
+        return [target.incarnation for target in usable], near
 
     def _weigh(self, target, has_link, at):
         is_near = target.centre == self.settings.centre
         return Candidate(
             target,
-            self.shared.fails(target.life, at),
-            self.shared.in_flight(target.life),
+            self.shared.fails(target.incarnation, at),
+            self.shared.in_flight(target.incarnation),
             at < target.read_at + target.cold_for,
             is_near,
-            Feature.OPEN_CONNECTIONS not in self.settings.off and has_link(target.life),
+            Feature.OPEN_CONNECTIONS not in self.settings.off
+            and has_link(target.incarnation),
             is_near or self.shared.knows_load(target.centre, at),
             self.limits.wait(target, at),
         )
@@ -371,7 +374,7 @@
     def is_usable(self, target):
         """Return whether this life of a target may still get new work."""
         listed = self.registry.targets.get(target.id)
-        if listed is None or listed.life != target.life:
+        if listed is None or listed.incarnation != target.incarnation:
             return False
         return listed.state is TargetState.READY
 
@@ -391,13 +394,13 @@
 
     def start(self, target):
         """Count a send that starts."""
-        self.shared.start(target.life, now())
+        self.shared.start(target.incarnation, now())
         self.limits.acquire(target, now())
         self._tell(is_urgent=False)
 
     def end(self, target):
         """Count a send that ended."""
-        self.shared.end(target.life)
+        self.shared.end(target.incarnation)
         self._tell(is_urgent=False)
 
     def note(self, target, route, fate, seconds):
@@ -418,7 +421,7 @@
         targets like that, one request in five was refused, one in a hundred with this.
         """
         is_near = target.centre == self.settings.centre
-        return is_near and self.shared.in_flight(target.life) < target.slots
+        return is_near and self.shared.in_flight(target.incarnation) < target.slots
 
     def note_run(self, note):
         """Take a `RunNote` of this host's own."""
@@ -432,7 +435,9 @@
     def _note(self, target, route, sign, seconds):
         if sign is None:
             return
-        self.shared.note(target.life, target.service, route.name, sign, seconds, now())
+        self.shared.note(
+            target.incarnation, target.service, route.name, sign, seconds, now()
+        )
         self._tell(is_urgent=sign not in DEFERRABLE_OUTCOMES)
 
     def _tell(self, is_urgent):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/limits.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/limits.py
@@ -46,7 +46,7 @@
 
     def rate(self, target):
         """Return the requests a second that a target takes, or None without a limit."""
-        return self._limits.advertised.rate(target.life)
+        return self._limits.advertised.rate(target.incarnation)
 
     def within(self, service, longest, at):
         """
@@ -80,7 +80,7 @@
     def has_share(self, target, at):
         """Return whether this host may send to a target, at once or after a wait."""
         within = self.within(target.service, math.inf, at)
-        return any(other.life == target.life for other in within)
+        return any(other.incarnation == target.incarnation for other in within)
 
     def acquire(self, target, at):
         """Count a request that is sent to a target, or will be after its wait."""
@@ -112,7 +112,7 @@
             # What rejects a request need not know of the limit.
             return
         former = self.rate(target)
-        if self._limits.advertised.observe(target.life, rate, sent_at, now()):
+        if self._limits.advertised.observe(target.incarnation, rate, sent_at, now()):
             request = request_id.decode("latin-1")
             extra = {"target": target.id, "rate": rate, "former": former}
             log.info("rate limit", extra={**extra, "request": request})
@@ -120,9 +120,9 @@
 
     def _log_unreadable(self, target, text, request_id):
         """Log a limit that cannot be read, once for each incarnation."""
-        if target.life in self._unreadable:
+        if target.incarnation in self._unreadable:
             return
-        self._unreadable.add(target.life)
+        self._unreadable.add(target.incarnation)
         request = request_id.decode("latin-1")
         extra = {"target": target.id, "text": text, "request": request}
         log.warning("unreadable rate limit", extra=extra)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
@@ -55,11 +55,11 @@
         """Open a connection to a target; return a `Link`, or an `Unconnected`."""
 
         def on_closed(link):
-            self._drop(target.life, link)
+            self._drop(target.incarnation, link)
 
         link = await connect(target.address, timeout, on_closed)
         if isinstance(link, Link) and not link.is_closed:
-            self._busy.setdefault(target.life, set()).add(link)
+            self._busy.setdefault(target.incarnation, set()).add(link)
         return link
 
     def put_back(self, target_id, link):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
@@ -82,7 +82,7 @@
         Returns:
           A `Sent`.
         """
-        link = self._links.take(target.life, _idle_most(ask))
+        link = self._links.take(target.incarnation, _idle_most(ask))
         is_new = link is None
         if link is None:
             link = await self._links.open(target)
@@ -97,7 +97,7 @@
         connection = Connection("new" if is_new else "kept", age, idle)
         is_late = ask.deadline <= at or ask.caller.is_gone()
         if is_late or not self._knowledge.is_usable(target):
-            self._links.put_unused(target.life, link)
+            self._links.put_unused(target.incarnation, link)
             return Sent(SendOutcome.UNSENT, None, connection)
         fate, reply = await self._talk(ask, target, link, suspicion)
         return Sent(fate, reply, connection, ask.rest is not None)
@@ -129,7 +129,7 @@
                     target, exchange.headers, fate, sent_at, ask.id
                 )
             if not is_done:
-                self._links.put_back(target.life, link)
+                self._links.put_back(target.incarnation, link)
 
 
 def _idle_most(ask):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
@@ -89,6 +89,6 @@
             self._endings.note_broken(target, self.key)
         elif fate in RAN:
             if len(self._suspects):
-                self._knowledge.note_run(RunRecord(self.key, target.life, False))
+                self._knowledge.note_run(RunRecord(self.key, target.incarnation, False))
         elif fate is None and self._attempt.stage is not Stage.ANSWERED:
             self._endings.note_unanswered(target, self.key)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from plumsaddle_core.core.traffic import id_of_life
+from plumsaddle_core.core.traffic import target_id_of
 from plumsaddle_core.limits.advertised import LimitRow
 from plumsaddle_core.limits.liveness import HostCount
 from plumsaddle_core.ops.news import DEFERRABLE_OUTCOMES
@@ -208,7 +208,7 @@
                 continue
             has_news = True
             rate = limits.rate(row.life)
-            extra = {"target": id_of_life(row.life), "rate": rate, "former": former}
+            extra = {"target": target_id_of(row.life), "rate": rate, "former": former}
             log.info("rate limit", extra={**extra, "peer": host})
         return has_news
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
@@ -241,12 +241,12 @@
         busy = knowledge.registry.targets["look-1"]
         # Work of other hosts, as they have told it.
         for _ in range(busy.slots):
-            knowledge.shared.start(busy.life, now())
+            knowledge.shared.start(busy.incarnation, now())
         asked = asyncio.ensure_future(trial.ask("/look/a", "id-9"))
         await asyncio.sleep(1.0)
         assert not trial.workers["look-1"].runs
         for _ in range(busy.slots):
-            knowledge.shared.end(busy.life)
+            knowledge.shared.end(busy.incarnation)
         status, _, _ = await asked
         assert trial.workers["look-0"].runs["id-9"] == 1
         assert status == 200
@@ -274,7 +274,7 @@
         after = sum(len(worker.seen) for worker in trial.of("look"))
         assert after - before == 5
         knowledge = trial.hosts[0].knowledge
-        lives = [knowledge.registry.targets[w.id].life for w in trial.of("look")]
+        lives = [knowledge.registry.targets[w.id].incarnation for w in trial.of("look")]
         assert all(life in knowledge.shared.beliefs for life in lives)
         assert max(knowledge.shared.fails(life, now()) for life in lives) < 0.2
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
@@ -264,7 +264,7 @@
             host.told_at[number] = min(host.told_at[number], self.at)
         named = host.limits.advertised
         if self.way == "shared":
-            life = self.targets[number].life
+            life = self.targets[number].incarnation
             if named.observe(life, rate, sent_at, self.at):
                 self._tell(host, URGENT_DELAY)
         elif rate is not None:
