--- a/packages/plumsaddle-core/plumsaddle_core/ops/belief.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/belief.py
@@ -34,7 +34,7 @@
 # or a request that hangs. Dead targets are met by every host that sends to them, and
 # three silences of any hosts weigh as much as a failure that was answered. With more,
 # targets that some of the hosts cannot reach are taken for dead by all.
-SILENCE_MOST = 4.0
+MAX_SILENCE_LIKELIHOOD_RATIO = 4.0
 # A connection that is not answered, for the path of the host that opened it.
 UNREACHABLE_RATIO = 100.0
 WHOLE_RATIO = (1.0 - FAILS_FAILING) / (1.0 - FAILS_SOUND)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -23,9 +23,9 @@
 from ..limits.targets import TargetLimits
 from .belief import (
     FAILED_RATIO,
+    MAX_SILENCE_LIKELIHOOD_RATIO,
     PATH_SPELLS,
     PATH_WHOLE_RATIO,
-    SILENCE_MOST,
     UNREACHABLE_RATIO,
     WHOLE_RATIO,
     FailureEstimator,
@@ -428,7 +428,7 @@
         path_ratio = PATH_WHOLE_RATIO
         if outcome.sign in SILENCES and self._has_paths:
             path_ratio = ratio
-            ratio = min(SILENCE_MOST, ratio)
+            ratio = min(MAX_SILENCE_LIKELIHOOD_RATIO, ratio)
         if ratio != 1.0:
             before = self.failing(outcome.target, now)
             self._belief(outcome.target).update(ratio, now)
