--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -26,7 +26,7 @@
     MAX_SILENCE_LIKELIHOOD_RATIO,
     PATH_SPELLS,
     PATH_WHOLE_RATIO,
-    UNREACHABLE_RATIO,
+    UNREACHABLE_LIKELIHOOD_RATIO,
     WHOLE_RATIO,
     FailureEstimator,
     rare_ratio,
@@ -460,7 +460,7 @@
             return rare_ratio(self.times.note_stuck(outcome.service, outcome.route))
         if outcome.sign is HealthSignal.FAILED:
             return FAILED_RATIO
-        return UNREACHABLE_RATIO
+        return UNREACHABLE_LIKELIHOOD_RATIO
 
 
 _UNKNOWN = FailureEstimator()
