--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -26,8 +26,8 @@
     MAX_SILENCE_LIKELIHOOD_RATIO,
     PATH_SPELLS,
     PATH_WHOLE_RATIO,
+    SUCCESS_LIKELIHOOD_RATIO,
     UNREACHABLE_LIKELIHOOD_RATIO,
-    WHOLE_RATIO,
     FailureEstimator,
     rare_ratio,
 )
@@ -450,7 +450,7 @@
         """Return how much an outcome speaks for a failing target, as a ratio."""
         if outcome.sign is HealthSignal.SUCCEEDED:
             self.times.note_whole(outcome.service, outcome.route, outcome.seconds)
-            return WHOLE_RATIO
+            return SUCCESS_LIKELIHOOD_RATIO
         if outcome.sign is HealthSignal.SHED:
             return rare_ratio(self.times.note_shed(outcome.service))
         if outcome.sign is HealthSignal.LATE:
