--- a/packages/plumsaddle-core/plumsaddle_core/ops/belief.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/belief.py
@@ -38,7 +38,7 @@
 # A connection that is not answered, for the path of the host that opened it.
 UNREACHABLE_LIKELIHOOD_RATIO = 100.0
 SUCCESS_LIKELIHOOD_RATIO = (1.0 - FAILS_FAILING) / (1.0 - FAILS_SOUND)
-FAILED_RATIO = FAILS_FAILING / FAILS_SOUND
+FAILURE_LIKELIHOOD_RATIO = FAILS_FAILING / FAILS_SOUND
 MOST = 0.995
 # Shares of failed requests over a sound and over a broken path. Packets are lost here
 # and there; a cut path loses all.
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -22,7 +22,7 @@
 from ..limits.quotas import Quotas
 from ..limits.targets import TargetLimits
 from .belief import (
-    FAILED_RATIO,
+    FAILURE_LIKELIHOOD_RATIO,
     MAX_SILENCE_LIKELIHOOD_RATIO,
     PATH_SPELLS,
     PATH_WHOLE_RATIO,
@@ -459,7 +459,7 @@
         if outcome.sign is HealthSignal.STUCK:
             return rare_ratio(self.times.note_stuck(outcome.service, outcome.route))
         if outcome.sign is HealthSignal.FAILED:
-            return FAILED_RATIO
+            return FAILURE_LIKELIHOOD_RATIO
         return UNREACHABLE_LIKELIHOOD_RATIO
 
 
