--- a/packages/plumsaddle-core/plumsaddle_core/ops/belief.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/belief.py
@@ -44,7 +44,7 @@
 # and there; a cut path loses all.
 PATH_FAILS_SOUND = 0.005
 PATH_FAILS_BROKEN = 0.9
-PATH_WHOLE_RATIO = (1.0 - PATH_FAILS_BROKEN) / (1.0 - PATH_FAILS_SOUND)
+PATH_SUCCESS_LIKELIHOOD_RATIO = (1.0 - PATH_FAILS_BROKEN) / (1.0 - PATH_FAILS_SOUND)
 # Cuts last as long as spells of targets and meet one path in thirty.
 PATH_BROKEN_FOR = 8.0
 PATH_USUAL = 0.03
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -25,7 +25,7 @@
     FAILURE_LIKELIHOOD_RATIO,
     MAX_SILENCE_LIKELIHOOD_RATIO,
     PATH_SPELLS,
-    PATH_WHOLE_RATIO,
+    PATH_SUCCESS_LIKELIHOOD_RATIO,
     SUCCESS_LIKELIHOOD_RATIO,
     UNREACHABLE_LIKELIHOOD_RATIO,
     FailureEstimator,
@@ -425,7 +425,7 @@
           The weight that it has for the path of the host that saw it.
         """
         ratio = self._ratio_of(outcome)
-        path_ratio = PATH_WHOLE_RATIO
+        path_ratio = PATH_SUCCESS_LIKELIHOOD_RATIO
         if outcome.sign in SILENCES and self._has_paths:
             path_ratio = ratio
             ratio = min(MAX_SILENCE_LIKELIHOOD_RATIO, ratio)
