--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -24,7 +24,7 @@
 from .belief import (
     FAILURE_LIKELIHOOD_RATIO,
     MAX_SILENCE_LIKELIHOOD_RATIO,
-    PATH_SPELLS,
+    PATH_MODEL,
     PATH_SUCCESS_LIKELIHOOD_RATIO,
     SUCCESS_LIKELIHOOD_RATIO,
     UNREACHABLE_LIKELIHOOD_RATIO,
@@ -443,7 +443,7 @@
         if path is None:
             if ratio < 1.0 or not self._has_paths:
                 return
-            path = self.paths[target_id] = FailureEstimator(PATH_SPELLS)
+            path = self.paths[target_id] = FailureEstimator(PATH_MODEL)
         path.update(ratio, now)
 
     def _ratio_of(self, outcome):
@@ -464,4 +464,4 @@
 
 
 _UNKNOWN = FailureEstimator()
-_UNKNOWN_PATH = FailureEstimator(PATH_SPELLS)
+_UNKNOWN_PATH = FailureEstimator(PATH_MODEL)
