--- a/packages/plumsaddle-core/plumsaddle_core/ops/belief.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/belief.py
@@ -116,7 +116,7 @@
         self._at = now
 
 
-def rare_ratio(share):
+def rare_outcome_likelihood_ratio(share):
     """
     Return the weight of an end that says the more the rarer it is.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -29,7 +29,7 @@
     SUCCESS_LIKELIHOOD_RATIO,
     UNREACHABLE_LIKELIHOOD_RATIO,
     FailureEstimator,
-    rare_ratio,
+    rare_outcome_likelihood_ratio,
 )
 from .elsewhere import Elsewhere
 from .floor import Results
@@ -452,12 +452,14 @@
             self.times.note_whole(outcome.service, outcome.route, outcome.seconds)
             return SUCCESS_LIKELIHOOD_RATIO
         if outcome.sign is HealthSignal.SHED:
-            return rare_ratio(self.times.note_shed(outcome.service))
+            return rare_outcome_likelihood_ratio(self.times.note_shed(outcome.service))
         if outcome.sign is HealthSignal.LATE:
             self.times.note_late(outcome.service, outcome.route, outcome.seconds)
             return 1.0
         if outcome.sign is HealthSignal.STUCK:
-            return rare_ratio(self.times.note_stuck(outcome.service, outcome.route))
+            return rare_outcome_likelihood_ratio(
+                self.times.note_stuck(outcome.service, outcome.route)
+            )
         if outcome.sign is HealthSignal.FAILED:
             return FAILURE_LIKELIHOOD_RATIO
         return UNREACHABLE_LIKELIHOOD_RATIO
