--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -230,7 +230,7 @@
             and not suspect.ended | suspect.answered <= suspect.stored
         }
 
-    def last_at(self, key):
+    def last_crash_at(self, key):
         """Return when the last target ended under a request, in seconds."""
         return self._suspects[key].last_at
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored.py
@@ -96,7 +96,11 @@
         at = now()
         values = {
             key: msgspec.json.encode(
-                Record(ended, answered, time.time() - at + self._suspects.last_at(key))
+                Record(
+                    ended,
+                    answered,
+                    time.time() - at + self._suspects.last_crash_at(key),
+                )
             )
             for key, (ended, answered) in rows.items()
         }
@@ -107,5 +111,5 @@
             return
         for key, (ended, answered) in rows.items():
             if key in self._suspects:
-                last_at = self._suspects.last_at(key)
+                last_at = self._suspects.last_crash_at(key)
                 self._suspects.add_stored(key, ended, answered, last_at)
