--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -80,7 +80,7 @@
         self.stored = frozenset()
 
     @property
-    def held_for(self):
+    def hold_remaining(self):
         """For how long the request is held back after the last end, in seconds."""
         beyond = max(0, len(self.ended) - ENDED_MOST)
         return min(HELD_MOST, HELD_FIRST * 2**beyond)
@@ -89,7 +89,7 @@
     def forgotten_at(self):
         """When it is forgotten, in seconds."""
         is_light = len(self.ended) < ENDED_MOST
-        return self.last_at + (REMEMBERED_FOR if is_light else 2 * self.held_for)
+        return self.last_at + (REMEMBERED_FOR if is_light else 2 * self.hold_remaining)
 
 
 class SuspectRequests:
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
@@ -118,7 +118,7 @@
         suspects = self._knowledge.shared.suspects
         held = suspects.held_keys(at)
         for key in held - self._held:
-            held_for = round(suspects.held_for(key, at), 1)
+            held_for = round(suspects.hold_remaining(key, at), 1)
             fields = {
                 "key": key,
                 "lives": suspects.crash_count(key),
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
@@ -54,7 +54,7 @@
         """Return for how many seconds the request is held back, 0.0 if it is not."""
         if self._is_off or not len(self._suspects):
             return 0.0
-        return self._suspects.held_for(self.key, now())
+        return self._suspects.hold_remaining(self.key, now())
 
     def may_retry(self):
         """
