--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -26,7 +26,7 @@
 
 # Lives that end under a request, less those that answered it, until it is held back.
 # Two may be chance, where many targets crash for other reasons.
-ENDED_MOST = 3
+CRASH_THRESHOLD = 3
 # Of these, lives whose end no other request explains. With one, a page that many ask
 # for is held back after two bad requests and a crash have each cut it short; a second
 # bad request beside a first one is found two ends later than it would be alone.
@@ -82,13 +82,13 @@
     @property
     def hold_remaining(self):
         """For how long the request is held back after the last end, in seconds."""
-        beyond = max(0, len(self.ended) - ENDED_MOST)
+        beyond = max(0, len(self.ended) - CRASH_THRESHOLD)
         return min(HELD_MOST, HELD_FIRST * 2**beyond)
 
     @property
     def forgotten_at(self):
         """When it is forgotten, in seconds."""
-        is_light = len(self.ended) < ENDED_MOST
+        is_light = len(self.ended) < CRASH_THRESHOLD
         return self.last_at + (REMEMBERED_FOR if is_light else 2 * self.hold_remaining)
 
 
@@ -280,12 +280,12 @@
             key=lambda row: -row[0],
         )
         for count, group in itertools.groupby(rows, key=lambda row: row[0]):
-            if count < ENDED_MOST:
+            if count < CRASH_THRESHOLD:
                 break
             found = [
                 (key, suspect)
                 for _, key, suspect in group
-                if count - len(suspect.answered) >= ENDED_MOST
+                if count - len(suspect.answered) >= CRASH_THRESHOLD
                 and len(suspect.ended - explained) >= UNEXPLAINED_LEAST
             ]
             for key, suspect in found:
--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
@@ -8,8 +8,8 @@
 import pytest
 
 from .suspects import (
+    CRASH_THRESHOLD,
     ENDED_FOR,
-    ENDED_MOST,
     HELD_FIRST,
     HELD_MOST,
     KEYS_MOST,
@@ -280,7 +280,7 @@
     assert suspects.own_records(0.5) == []
 
 
-@pytest.mark.parametrize("count", [1, ENDED_MOST - 1])
+@pytest.mark.parametrize("count", [1, CRASH_THRESHOLD - 1])
 def test_a_lost_rack_holds_nothing_back(count):
     """
     All callers of a service are refused after its targets lost their power at once.
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/scripts/held.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/scripts/held.py
@@ -7,7 +7,7 @@
 import msgspec
 from returns.result import Failure
 
-from plumsaddle_core.ops.suspects import ENDED_MOST
+from plumsaddle_core.ops.suspects import CRASH_THRESHOLD
 
 from ..edge.stored import TOPIC, decode_record
 from .common import DEFAULT_SETTINGS, DONE, NO_ANSWER, NOT_KNOWN, run_with, say
@@ -39,7 +39,7 @@
     except msgspec.DecodeError as exc:
         return f"{record.key}  unusable: {exc}"
     ended = len(known.ended)
-    is_enough = ended - len(known.answered) >= ENDED_MOST
+    is_enough = ended - len(known.answered) >= CRASH_THRESHOLD
     standing = "enough to be held back" if is_enough else "suspect"
     ago = round(time.time() - known.at)
     return (
