--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -35,7 +35,7 @@
 STORED_FROM = 2
 # A request is sent once more after a failed send while no more lives than that have
 # ended under it: one may be chance, and a third would make the verdict.
-RETRIED_MOST = 1
+MAX_CRASHES_TO_RETRY = 1
 # Seconds for which a request is held back after the last end, doubled with each life
 # more than it takes: targets may have got a release that can take it. At most this.
 HELD_FIRST = 600.0
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
@@ -7,7 +7,7 @@
 from plumsaddle_core.core.features import Feature
 from plumsaddle_core.core.traffic import SendOutcome
 from plumsaddle_core.ops.attempt import Stage
-from plumsaddle_core.ops.suspects import RETRIED_MOST, RunRecord
+from plumsaddle_core.ops.suspects import MAX_CRASHES_TO_RETRY, RunRecord
 
 from .clock import now
 from .outgoing import key_of
@@ -63,7 +63,7 @@
         Else own retries would carry it from one target to the next before anybody can
         know that it ends them.
         """
-        return self._count_ends() <= RETRIED_MOST
+        return self._count_ends() <= MAX_CRASHES_TO_RETRY
 
     def may_hedge(self):
         """Return whether a second send beside the first one may go out."""
