--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -38,7 +38,7 @@
 MAX_CRASHES_TO_RETRY = 1
 # Seconds for which a request is held back after the last end, doubled with each life
 # more than it takes: targets may have got a release that can take it. At most this.
-HELD_FIRST = 600.0
+MIN_HOLD = 600.0
 HELD_MOST = 4 * 3600.0
 # Seconds for which a life that has ended is remembered, unless the request is held
 # back for longer than half of that.
@@ -83,7 +83,7 @@
     def hold_remaining(self):
         """For how long the request is held back after the last end, in seconds."""
         beyond = max(0, len(self.ended) - CRASH_THRESHOLD)
-        return min(HELD_MOST, HELD_FIRST * 2**beyond)
+        return min(HELD_MOST, MIN_HOLD * 2**beyond)
 
     @property
     def forgotten_at(self):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
@@ -10,10 +10,10 @@
 from .suspects import (
     CRASH_THRESHOLD,
     ENDED_FOR,
-    HELD_FIRST,
     HELD_MOST,
     KEYS_MOST,
     LIVES_MOST,
+    MIN_HOLD,
     REMEMBERED_FOR,
     TOLD_FOR,
     TOLD_MOST,
@@ -37,7 +37,7 @@
     _end(suspects, "bad", "a", "b", "a", "b")
     assert suspects.held_for("bad", 1.0) == 0.0
     _end(suspects, "bad", "c")
-    assert suspects.held_for("bad", 1.0) == HELD_FIRST - 1.0
+    assert suspects.held_for("bad", 1.0) == MIN_HOLD - 1.0
     assert suspects.held_for("good", 1.0) == 0.0
 
 
@@ -131,12 +131,12 @@
     """
     suspects = SuspectRequests()
     _end(suspects, "bad", "a", "b", "c")
-    at = HELD_FIRST
+    at = MIN_HOLD
     assert suspects.held_for("bad", at) == 0.0
     assert not suspects.evict_expired(at)
     _end(suspects, "bad", "d", at=at)
-    assert suspects.held_for("bad", at) == 2 * HELD_FIRST
-    at += 2 * HELD_FIRST
+    assert suspects.held_for("bad", at) == 2 * MIN_HOLD
+    at += 2 * MIN_HOLD
     _answer(suspects, "bad", "e", "f", at=at)
     assert suspects.held_for("bad", at) == 0.0
     for number in range(LIVES_MOST):
@@ -175,7 +175,7 @@
     assert "light" not in suspects
     assert "bad" in suspects
     # The store's record is not needed any more either.
-    assert suspects.evict_expired(2 * HELD_FIRST) == ["bad"]
+    assert suspects.evict_expired(2 * MIN_HOLD) == ["bad"]
     assert len(suspects) == 0
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored_test.py
@@ -8,7 +8,7 @@
 import msgspec
 from returns.result import Failure, Success
 
-from plumsaddle_core.ops.suspects import HELD_FIRST, RunRecord, SuspectRequests
+from plumsaddle_core.ops.suspects import MIN_HOLD, RunRecord, SuspectRequests
 
 from ..platform.store import KeyedRecord, Page, StoreError
 from .clock import now
@@ -50,7 +50,7 @@
     """
     stored, suspects, _ = _make()
     stored.take(Page([_record("a", "b", "c", at=time.time() - 7200.0)], 2))
-    assert suspects.held_for("k", now()) > HELD_FIRST - 1.0
+    assert suspects.held_for("k", now()) > MIN_HOLD - 1.0
 
 
 def test_a_record_that_cannot_be_read_hides_no_other():
@@ -88,7 +88,7 @@
     async def run(is_reader):
         stored, _, store = _make(Success(b""), is_reader=is_reader)
         stored.take(Page([_record("a")], 2))
-        stored.forget_old(now() + 2 * HELD_FIRST)
+        stored.forget_old(now() + 2 * MIN_HOLD)
         await asyncio.sleep(0.01)
         return store.written
 
