--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -80,7 +80,7 @@
         self.stored = frozenset()
 
     @property
-    def hold_remaining(self):
+    def hold_duration(self):
         """For how long the request is held back after the last end, in seconds."""
         beyond = max(0, len(self.ended) - CRASH_THRESHOLD)
         return min(HELD_MOST, MIN_HOLD * 2**beyond)
@@ -89,7 +89,7 @@
     def forgotten_at(self):
         """When it is forgotten, in seconds."""
         is_light = len(self.ended) < CRASH_THRESHOLD
-        return self.last_at + (REMEMBERED_FOR if is_light else 2 * self.hold_remaining)
+        return self.last_at + (REMEMBERED_FOR if is_light else 2 * self.hold_duration)
 
 
 class SuspectRequests:
@@ -250,7 +250,7 @@
         suspect = self._suspects.get(key)
         return len(suspect.ended) if suspect is not None else 0
 
-    def held_for(self, key, now):
+    def hold_remaining(self, key, now):
         """Return for how many seconds a request is still held back, or 0.0."""
         return max(0.0, self._verdicts().get(key, -math.inf) - now)
 
@@ -289,6 +289,6 @@
                 and len(suspect.ended - explained) >= UNEXPLAINED_LEAST
             ]
             for key, suspect in found:
-                held[key] = suspect.last_at + suspect.held_for
+                held[key] = suspect.last_at + suspect.hold_duration
                 explained |= suspect.ended
         return held
--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
@@ -35,10 +35,10 @@
 def test_a_request_is_held_back_after_three_lives():
     suspects = SuspectRequests()
     _end(suspects, "bad", "a", "b", "a", "b")
-    assert suspects.held_for("bad", 1.0) == 0.0
+    assert suspects.hold_remaining("bad", 1.0) == 0.0
     _end(suspects, "bad", "c")
-    assert suspects.held_for("bad", 1.0) == MIN_HOLD - 1.0
-    assert suspects.held_for("good", 1.0) == 0.0
+    assert suspects.hold_remaining("bad", 1.0) == MIN_HOLD - 1.0
+    assert suspects.hold_remaining("good", 1.0) == 0.0
 
 
 def test_what_a_busy_target_ran_besides_is_not_held_back():
@@ -51,8 +51,8 @@
     suspects = SuspectRequests()
     _end(suspects, "bad", "a", "b", "c", "d")
     _end(suspects, "beside", "a", "b", "c")
-    assert suspects.held_for("bad", 1.0) > 0.0
-    assert suspects.held_for("beside", 1.0) == 0.0
+    assert suspects.hold_remaining("bad", 1.0) > 0.0
+    assert suspects.hold_remaining("beside", 1.0) == 0.0
 
 
 def test_a_second_bad_request_is_found_beside_the_first():
@@ -65,9 +65,9 @@
     suspects = SuspectRequests()
     _end(suspects, "one", "a", "b", "c", "d")
     _end(suspects, "two", "a", "b", "c")
-    assert suspects.held_for("two", 1.0) == 0.0
+    assert suspects.hold_remaining("two", 1.0) == 0.0
     _end(suspects, "two", "e", "f")
-    assert suspects.held_for("two", 1.0) > 0.0
+    assert suspects.hold_remaining("two", 1.0) > 0.0
 
 
 def test_a_page_that_many_ask_for_is_not_held_back_for_the_ends_of_others():
@@ -81,9 +81,9 @@
     _end(suspects, "one", "a", "r", "s", "t")
     _end(suspects, "two", "b", "u", "v", "w", "x")
     _end(suspects, "page", "a", "b", "c")
-    assert suspects.held_for("one", 1.0) > 0.0
-    assert suspects.held_for("two", 1.0) > 0.0
-    assert suspects.held_for("page", 1.0) == 0.0
+    assert suspects.hold_remaining("one", 1.0) > 0.0
+    assert suspects.hold_remaining("two", 1.0) > 0.0
+    assert suspects.hold_remaining("page", 1.0) == 0.0
 
 
 def test_an_innocent_request_that_led_is_let_go_again():
@@ -95,10 +95,10 @@
     """
     suspects = SuspectRequests()
     _end(suspects, "beside", "a", "b", "c")
-    assert suspects.held_for("beside", 1.0) > 0.0
+    assert suspects.hold_remaining("beside", 1.0) > 0.0
     _end(suspects, "bad", "a", "b", "c", "d")
-    assert suspects.held_for("bad", 1.0) > 0.0
-    assert suspects.held_for("beside", 1.0) == 0.0
+    assert suspects.hold_remaining("bad", 1.0) > 0.0
+    assert suspects.hold_remaining("beside", 1.0) == 0.0
 
 
 def test_answers_make_up_for_ends():
@@ -111,9 +111,9 @@
     _end(suspects, "often", "a")
     _answer(suspects, "often", "x", "y")
     _end(suspects, "often", "b", "c")
-    assert suspects.held_for("often", 1.0) == 0.0
+    assert suspects.hold_remaining("often", 1.0) == 0.0
     _end(suspects, "often", "d", "e")
-    assert suspects.held_for("often", 1.0) > 0.0
+    assert suspects.hold_remaining("often", 1.0) > 0.0
 
 
 def test_an_answer_to_a_request_that_is_no_suspect_is_not_kept():
@@ -132,16 +132,16 @@
     suspects = SuspectRequests()
     _end(suspects, "bad", "a", "b", "c")
     at = MIN_HOLD
-    assert suspects.held_for("bad", at) == 0.0
+    assert suspects.hold_remaining("bad", at) == 0.0
     assert not suspects.evict_expired(at)
     _end(suspects, "bad", "d", at=at)
-    assert suspects.held_for("bad", at) == 2 * MIN_HOLD
+    assert suspects.hold_remaining("bad", at) == 2 * MIN_HOLD
     at += 2 * MIN_HOLD
     _answer(suspects, "bad", "e", "f", at=at)
-    assert suspects.held_for("bad", at) == 0.0
+    assert suspects.hold_remaining("bad", at) == 0.0
     for number in range(LIVES_MOST):
         _end(suspects, "worst", f"l{number}")
-    assert suspects.held_for("worst", 0.0) == HELD_MOST
+    assert suspects.hold_remaining("worst", 0.0) == HELD_MOST
 
 
 def test_a_life_beyond_those_that_are_kept_is_told_once_at_most():
@@ -159,7 +159,7 @@
         assert not suspects.add(RunRecord("bad", "one more", True), 5.0)
     assert suspects.near_record_count == count
     # It has ended all the same, and the request is held for as long after it.
-    assert suspects.held_for("bad", 5.0) == HELD_MOST
+    assert suspects.hold_remaining("bad", 5.0) == HELD_MOST
 
 
 def test_all_is_forgotten_in_time():
@@ -191,7 +191,7 @@
     for number in range(4 * KEYS_MOST):
         _end(suspects, f"flood-{number}", f"life-{number}", at=float(number))
     assert len(suspects) == KEYS_MOST
-    assert suspects.held_for("bad", 1.0) > 0.0
+    assert suspects.hold_remaining("bad", 1.0) > 0.0
     # And a late one is still taken in.
     assert f"flood-{4 * KEYS_MOST - 1}" in suspects
 
@@ -212,7 +212,7 @@
         suspects = SuspectRequests()
         for note in sorted(notes, key=lambda n: not n.has_ended):
             suspects.add(note, 0.0)
-        verdicts.add(tuple(suspects.held_for(f"k{n}", 1.0) for n in (1, 2, 3, 4)))
+        verdicts.add(tuple(suspects.hold_remaining(f"k{n}", 1.0) for n in (1, 2, 3, 4)))
     assert len(verdicts) == 1
 
 
@@ -243,9 +243,9 @@
     ended, answered = here.unsaved()["bad"]
     assert (ended, answered) == (["a", "b"], [])
     there.add_stored("bad", ended, answered, 0.0)
-    assert there.held_for("bad", 0.0) == 0.0
+    assert there.hold_remaining("bad", 0.0) == 0.0
     _end(there, "bad", "c", is_own=True)
-    assert there.held_for("bad", 0.0) > 0.0
+    assert there.hold_remaining("bad", 0.0) > 0.0
 
 
 def test_what_two_hosts_write_at_once_is_written_together_in_the_end():
@@ -274,9 +274,9 @@
 def test_an_operator_lets_a_request_go():
     suspects = SuspectRequests()
     _end(suspects, "bad", "a", "b", "c", is_own=True)
-    assert suspects.held_for("bad", 0.0) > 0.0
+    assert suspects.hold_remaining("bad", 0.0) > 0.0
     suspects.drop("bad")
-    assert suspects.held_for("bad", 0.0) == 0.0
+    assert suspects.hold_remaining("bad", 0.0) == 0.0
     assert suspects.own_records(0.5) == []
 
 
@@ -291,4 +291,4 @@
     for number in range(200):
         lives = [f"life-{number + step}" for step in range(count)]
         _end(suspects, f"key-{number}", *lives)
-    assert not any(suspects.held_for(f"key-{n}", 0.0) for n in range(200))
+    assert not any(suspects.hold_remaining(f"key-{n}", 0.0) for n in range(200))
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored_test.py
@@ -50,7 +50,7 @@
     """
     stored, suspects, _ = _make()
     stored.take(Page([_record("a", "b", "c", at=time.time() - 7200.0)], 2))
-    assert suspects.held_for("k", now()) > MIN_HOLD - 1.0
+    assert suspects.hold_remaining("k", now()) > MIN_HOLD - 1.0
 
 
 def test_a_record_that_cannot_be_read_hides_no_other():
