--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ..core.traffic import Workspace
-from ..ops.zone import SharedState
+from ..ops.shared_state import SharedState
 from .liveness import GONE_AFTER, HostCount
 from .meter import Decayed, Tolerance
 from .quotas import FORGET_AFTER, Quotas
--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -15,7 +15,7 @@
     tag_of,
 )
 from .registry import Registry
-from .zone import SharedState
+from .shared_state import SharedState
 
 
 def _target(born, state=TargetState.READY, service="look"):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
@@ -8,8 +8,8 @@
 from .choice import Candidate, Demand, choose_target
 from .news import Counts, HealthSignal, OutcomeRecord, PeerUpdate, tag_of
 from .share import SPENT_PART, RetryShare
+from .shared_state import SILENT_AFTER, SharedState
 from .times import USUAL_AT_FIRST
-from .zone import SILENT_AFTER, SharedState
 
 
 def _shared():
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -21,6 +21,7 @@
 from plumsaddle_core.ops.floor import Trials
 from plumsaddle_core.ops.news import DEFERRABLE_OUTCOMES, HealthSignal
 from plumsaddle_core.ops.registry import Registry
+from plumsaddle_core.ops.shared_state import SharedState
 from plumsaddle_core.ops.subset import (
     SMALL,
     WIDEN_BELOW,
@@ -36,7 +37,6 @@
     urgency,
 )
 from plumsaddle_core.ops.workspaces import index_keys, show_digest
-from plumsaddle_core.ops.zone import SharedState
 
 from ..platform import wire
 from .clock import now
