--- a/packages/plumsaddle-core/plumsaddle_core/core/data.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/data.py
@@ -45,7 +45,7 @@
     EJECTED = "ejected"
     TRIAL = "trial"
     SLOW_START = "slow-start"
-    LEAVING = "leaving"
+    DRAINING = "leaving"
 
 
 class Outcome(enum.Enum):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
@@ -64,7 +64,7 @@
     staying = [
         key
         for key, member in pool.members.items()
-        if member.standing is not HealthState.LEAVING
+        if member.standing is not HealthState.DRAINING
     ]
     bad = [
         key
@@ -221,7 +221,7 @@
 def floor_of(pool):
     """Return the floor, or the number of targets that stay if they are fewer."""
     staying = sum(
-        member.standing is not HealthState.LEAVING for member in pool.members.values()
+        member.standing is not HealthState.DRAINING for member in pool.members.values()
     )
     return min(pool.service.floor, staying)
 
@@ -240,9 +240,9 @@
     changes = []
     for key, member in pool.members.items():
         old = member.standing
-        if key in keys and old is not HealthState.LEAVING:
-            member.set_standing(HealthState.LEAVING, now, "the target is leaving")
-        elif key not in keys and old is HealthState.LEAVING:
+        if key in keys and old is not HealthState.DRAINING:
+            member.set_standing(HealthState.DRAINING, now, "the target is leaving")
+        elif key not in keys and old is HealthState.DRAINING:
             member.set_standing(HealthState.SLOW_START, now, "the target stays")
         else:
             continue
--- a/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
@@ -157,7 +157,7 @@
     def is_worth_waiting(self, tried=()):
         """Return whether a target may become free that could take a request."""
         return any(
-            member.standing not in (HealthState.EJECTED, HealthState.LEAVING)
+            member.standing not in (HealthState.EJECTED, HealthState.DRAINING)
             for key, member in self.members.items()
             if key not in tried
         )
@@ -191,7 +191,7 @@
 
 def _may_take(member, kind, now):
     """Return whether a target may be given a request of this kind now."""
-    if member.standing in (HealthState.EJECTED, HealthState.LEAVING):
+    if member.standing in (HealthState.EJECTED, HealthState.DRAINING):
         return False
     if member.standing is HealthState.TRIAL:
         # A stalled target sheds its trials; tried at once again by every request,
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -127,7 +127,7 @@
 
     def keys_in(self, now):
         """Return the targets that get ordinary work."""
-        out = (HealthState.EJECTED, HealthState.TRIAL, HealthState.LEAVING)
+        out = (HealthState.EJECTED, HealthState.TRIAL, HealthState.DRAINING)
         return {k for k, m in self.pool.members.items() if m.standing not in out}
 
     def is_contended(self, now):
