--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -41,7 +41,7 @@
     """What the registry says of a target."""
 
     READY = "ready"
-    LEAVING = "leaving"
+    DRAINING = "leaving"
 
 
 class Target(NamedTuple):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -77,7 +77,7 @@
 def test_the_registry_tells_a_restart_once():
     registry = Registry()
     assert registry.put(_target(1000), 1, 0.0) is None
-    assert registry.put(_target(1000, TargetState.LEAVING), 2, 1.0) is None
+    assert registry.put(_target(1000, TargetState.DRAINING), 2, 1.0) is None
     former = registry.put(_target(2000), 3, 2.0)
     assert former.incarnation == _target(1000).incarnation
     assert registry.put(_target(2000), 4, 3.0) is None
@@ -127,7 +127,7 @@
         elif what == "rejected":
             registry.reject("t", offset)
         else:
-            state = TargetState.READY if what == "ready" else TargetState.LEAVING
+            state = TargetState.READY if what == "ready" else TargetState.DRAINING
             registry.put(_target(born, state, service), offset, 1.0)
         if offset >= newest.get("offset", -1):
             newest = {"offset": offset, "what": what, "at": (born, service)}
--- a/packages/plumsaddle-core/plumsaddle_core/ops/registry_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/registry_test.py
@@ -64,8 +64,8 @@
     A listing that began before the news is read after it.
     """
     registry = _filled(1)
-    registry.put(_target(0, TargetState.LEAVING), 9, 1.0)
+    registry.put(_target(0, TargetState.DRAINING), 9, 1.0)
     registry.put(_target(0), 4, 1.1)
     assert not _ids(registry)
     registry.drop({"t0": 3}, 1.2)
-    assert registry.targets["t0"].state is TargetState.LEAVING
+    assert registry.targets["t0"].state is TargetState.DRAINING
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
@@ -102,7 +102,7 @@
     assert case.links.kept == [case.target.incarnation]
 
 
-@pytest.mark.parametrize("state", [TargetState.LEAVING, None])
+@pytest.mark.parametrize("state", [TargetState.DRAINING, None])
 def test_a_target_that_leaves_ends_under_nothing(state):
     """
     A release drains a service, and what its targets cut short at their end is refused.
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/store.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/store.py
@@ -199,7 +199,7 @@
                 decoded = wire.decode_target(record.key, record.value, 0.0)
                 if isinstance(decoded, Success):
                     target = decoded.unwrap()
-                    is_leaving = target.state is TargetState.LEAVING
+                    is_leaving = target.state is TargetState.DRAINING
                     rows.append(Listed(target.id, target.address, role, is_leaving))
         return Success(rows)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/wire.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/wire.py
@@ -57,7 +57,7 @@
 BORN_MOST = 2**53
 # Bytes of an unreadable rate limit that a log line shows.
 RATE_LIMIT_SHOWN = 40
-STATES = {"ready": TargetState.READY, "draining": TargetState.LEAVING}
+STATES = {"ready": TargetState.READY, "draining": TargetState.DRAINING}
 
 
 class _Entry(msgspec.Struct):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/wire_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/wire_test.py
@@ -35,7 +35,7 @@
 def test_a_good_entry_names_a_target():
     target = _decode(state="draining", more={"a": 1}).unwrap()
     assert (target.born, target.cold_for) == (GOOD["born"], 0.5)
-    assert target.state is TargetState.LEAVING
+    assert target.state is TargetState.DRAINING
     assert _decode(born=...).unwrap().born == 0
 
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
@@ -56,7 +56,7 @@
 def _leaves(trial, hosts):
     """Return whether hosts know that a target is leaving."""
     listed = [host.knowledge.registry.targets["act-0"] for host in hosts]
-    return all(target.state is TargetState.LEAVING for target in listed)
+    return all(target.state is TargetState.DRAINING for target in listed)
 
 
 async def _drain_in_time(trial, hosts):
