--- a/packages/plumsaddle-core/plumsaddle_core/core/data.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/data.py
@@ -41,7 +41,7 @@
 class HealthState(enum.Enum):
     """What a host lets a target do."""
 
-    GOOD = "good"
+    HEALTHY = "good"
     EJECTED = "ejected"
     TRIAL = "trial"
     SLOW_START = "slow-start"
--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
@@ -92,7 +92,7 @@
         (evidence.score(key, now), key)
         for key, member in pool.members.items()
         if member.standing
-        in (HealthState.GOOD, HealthState.SLOW_START, HealthState.TRIAL)
+        in (HealthState.HEALTHY, HealthState.SLOW_START, HealthState.TRIAL)
     ]
     convicted = sorted(
         (
@@ -104,7 +104,7 @@
     )
     changes = []
     for score, key in convicted:
-        is_warm = pool.members[key].standing is HealthState.GOOD
+        is_warm = pool.members[key].standing is HealthState.HEALTHY
         if count_warm(pool) - is_warm < floor_of(pool):
             break
         reason = (
@@ -148,7 +148,7 @@
         evidence.clear(member.target.key)
         member.set_standing(HealthState.SLOW_START, now, f"{TRIALS_NEEDED} good trials")
     elif old is HealthState.SLOW_START and now - member.since >= SLOW_START_FOR:
-        member.set_standing(HealthState.GOOD, now, "the slow start is over")
+        member.set_standing(HealthState.HEALTHY, now, "the slow start is over")
     else:
         return []
     return [Change(member.target.key, old, member.standing, member.reason)]
@@ -205,7 +205,7 @@
 
 
 def _is_in(member):
-    return member.standing in (HealthState.GOOD, HealthState.SLOW_START)
+    return member.standing in (HealthState.HEALTHY, HealthState.SLOW_START)
 
 
 def count_in(pool):
@@ -215,7 +215,9 @@
 
 def count_warm(pool):
     """Return how many targets are in and past their slow start."""
-    return sum(member.standing is HealthState.GOOD for member in pool.members.values())
+    return sum(
+        member.standing is HealthState.HEALTHY for member in pool.members.values()
+    )
 
 
 def floor_of(pool):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
@@ -149,7 +149,7 @@
             bench.tell(reporter, bench.keys[0], 2.0, good=5)
     assert bench.review(2.1) == []
     member = bench.pool.members[bench.keys[0]]
-    assert (member.standing, member.is_avoided) == (HealthState.GOOD, True)
+    assert (member.standing, member.is_avoided) == (HealthState.HEALTHY, True)
     for _ in range(50):
         chosen = bench.pool.choose(RequestKind.IDEMPOTENT, 2.2, bench.rng)
         assert chosen is not member
@@ -228,7 +228,7 @@
             note_trial(member, True, now, bench.rng)
         bench.review(now)
         bench.review(now + 10.1)
-        assert member.standing is HealthState.GOOD
+        assert member.standing is HealthState.HEALTHY
         now += 10.2
     assert pauses == sorted(pauses)
     assert pauses[-1] > 4 * pauses[0]
--- a/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
@@ -31,7 +31,7 @@
         self.shed_at = -math.inf
         self.sheds = 0
         self.freed_at = -math.inf
-        self.standing = HealthState.GOOD
+        self.standing = HealthState.HEALTHY
         self.is_avoided = False
         self.since = -math.inf
         self.until = -math.inf
@@ -118,7 +118,7 @@
             if member.target.key not in tried and _may_take(member, kind, now)
         ]
         if kind is RequestKind.ORDER and self._has_good():
-            usable = [m for m in usable if m.standing is HealthState.GOOD]
+            usable = [m for m in usable if m.standing is HealthState.HEALTHY]
         usable = _prefer(usable, lambda member: not member.is_avoided)
         if kind is RequestKind.IDEMPOTENT:
             trials = [m for m in usable if m.standing is HealthState.TRIAL]
@@ -134,7 +134,7 @@
 
     def _has_good(self):
         """Return whether any target is in good standing, busy or not."""
-        return any(m.standing is HealthState.GOOD for m in self.members.values())
+        return any(m.standing is HealthState.HEALTHY for m in self.members.values())
 
     def is_contended(self, now):
         """Return whether a target has shed a request of this host's lately."""
@@ -143,7 +143,7 @@
     def good_keys(self):
         """Return the keys of the targets in good standing."""
         return [
-            key for key, m in self.members.items() if m.standing is HealthState.GOOD
+            key for key, m in self.members.items() if m.standing is HealthState.HEALTHY
         ]
 
     def has_trial(self, now):
