--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -205,7 +205,7 @@
 class SendOutcome(enum.Enum):
     """What became of one send, as far as this host can know."""
 
-    WHOLE = "whole"
+    SUCCEEDED = "whole"
     NOT_RUN = "not-run"
     WRONG_TARGET = "wrong-target"
     FAILED = "failed"
--- a/packages/plumsaddle-core/plumsaddle_core/ops/attempt.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/attempt.py
@@ -83,7 +83,7 @@
             self.may_have_run = True
         if self.stage is Stage.ANSWERED:
             return
-        if fate is SendOutcome.WHOLE:
+        if fate is SendOutcome.SUCCEEDED:
             self.stage = Stage.ANSWERED
         elif not self._outstanding:
             self.stage = Stage.OPEN if self.may_have_run else Stage.REFUSED
--- a/packages/plumsaddle-core/plumsaddle_core/ops/attempt_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/attempt_test.py
@@ -14,7 +14,7 @@
 from .attempt import Attempt, Stage
 
 ENDS = [
-    SendOutcome.WHOLE,
+    SendOutcome.SUCCEEDED,
     SendOutcome.NOT_RUN,
     SendOutcome.WRONG_TARGET,
     SendOutcome.FAILED,
@@ -87,7 +87,7 @@
 
     @invariant()
     def an_answered_request_goes_nowhere(self):
-        if SendOutcome.WHOLE in self.history:
+        if SendOutcome.SUCCEEDED in self.history:
             assert self.attempt.stage is Stage.ANSWERED
             assert not self.attempt.may_send()
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -48,7 +48,7 @@
 ANSWER_AT_FIRST = 2000.0
 ANSWER_PART = 0.1
 SIGNS = {
-    SendOutcome.WHOLE: HealthSignal.SUCCEEDED,
+    SendOutcome.SUCCEEDED: HealthSignal.SUCCEEDED,
     SendOutcome.UNREACHED: HealthSignal.UNREACHABLE,
     # Somebody else has the address, so the target is gone although it is still listed.
     SendOutcome.WRONG_TARGET: HealthSignal.UNREACHABLE,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/limits.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/limits.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger("limits")
 # What becomes of a request that its target has run to an answer.
-RUN_FATES = {SendOutcome.WHOLE, SendOutcome.FAILED, SendOutcome.TIMED_OUT}
+RUN_FATES = {SendOutcome.SUCCEEDED, SendOutcome.FAILED, SendOutcome.TIMED_OUT}
 
 
 class RateLimits:
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
@@ -163,7 +163,7 @@
         self.used_at = now()
         if (
             exchange is None
-            or exchange.fate is not SendOutcome.WHOLE
+            or exchange.fate is not SendOutcome.SUCCEEDED
             or self._is_sending
             or self._is_spoiled
         ):
@@ -218,7 +218,7 @@
     def eof_received(self):
         self._is_spoiled = True
         if self._is_until_end and self.exchange is not None:
-            self.exchange.finish(SendOutcome.WHOLE)
+            self.exchange.finish(SendOutcome.SUCCEEDED)
 
     def connection_lost(self, exc):
         self.is_closed = True
@@ -261,7 +261,7 @@
         if not self._parser.should_keep_alive():
             self._is_spoiled = True
         if not self._is_skipped:
-            self.exchange.finish(SendOutcome.WHOLE)
+            self.exchange.finish(SendOutcome.SUCCEEDED)
 
     def _note_idle_limit(self):
         """Learn for how long the target keeps idle connections."""
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -164,7 +164,7 @@
             for task in done - {self._end}:
                 self._sends.discard(task)
                 result = task.result()
-                if result.fate is SendOutcome.WHOLE:
+                if result.fate is SendOutcome.SUCCEEDED:
                     self._knowledge.note_answer(self._ask.route, len(result.reply.body))
                     return self._log_answer(result)
                 answer = await self._recover(result)
@@ -428,9 +428,9 @@
             work = seconds if has_waits else seconds / choice.load
             if not is_stuck:
                 self._knowledge.note(target, self._ask.route, fate, work)
-            elif fate is SendOutcome.WHOLE:
+            elif fate is SendOutcome.SUCCEEDED:
                 self._knowledge.note_late(target, self._ask.route, work)
-        if fate is not SendOutcome.WHOLE:
+        if fate is not SendOutcome.SUCCEEDED:
             self._log_failure(target, sent._replace(fate=fate), seconds)
         return Result(target, fate, sent.reply, seconds)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
@@ -117,7 +117,7 @@
                 await exchange.collect(HELD_MOST)
             if exchange.fate is None and exchange.has_head:
                 fate, reply = judge_head(exchange, Rest(exchange, link))
-                is_done = fate is SendOutcome.WHOLE
+                is_done = fate is SendOutcome.SUCCEEDED
                 # Of a long answer that is a failure nobody will read the rest.
                 return fate, reply if is_done else None
             fate, reply = judge(exchange)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
@@ -14,7 +14,7 @@
 
 # Fates that show that a target ran the request and is still there.
 RAN = {
-    SendOutcome.WHOLE,
+    SendOutcome.SUCCEEDED,
     SendOutcome.FAILED,
     SendOutcome.UNSIGNED,
     SendOutcome.TIMED_OUT,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/verdict.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/verdict.py
@@ -9,7 +9,7 @@
 
 def judge(exchange):
     """Return the fate and the `Reply` of an exchange that has ended."""
-    if exchange.fate is not SendOutcome.WHOLE:
+    if exchange.fate is not SendOutcome.SUCCEEDED:
         return SendOutcome.BROKEN, None
     return judge_head(exchange, None)
 
@@ -28,13 +28,13 @@
         is_signed = wire.SIGNATURE.lower().encode() in headers
         is_plain = b"content-encoding" not in headers
         return (
-            SendOutcome.WHOLE if is_signed and is_plain else SendOutcome.UNSIGNED
+            SendOutcome.SUCCEEDED if is_signed and is_plain else SendOutcome.UNSIGNED
         ), reply
     if exchange.status == 504:
         return SendOutcome.TIMED_OUT, reply
     if exchange.status >= 500 or exchange.status in (408, 429):
         return SendOutcome.FAILED, reply
-    return SendOutcome.WHOLE, reply
+    return SendOutcome.SUCCEEDED, reply
 
 
 class Rest:
@@ -60,7 +60,7 @@
             part = bytes(exchange.body)
             exchange.body.clear()
             return part
-        return b"" if exchange.fate is SendOutcome.WHOLE else None
+        return b"" if exchange.fate is SendOutcome.SUCCEEDED else None
 
     def close(self):
         """Close the connection."""
