--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -211,7 +211,7 @@
     FAILED = "failed"
     BROKEN = "broken"
     UNSIGNED = "unsigned"
-    UNREACHED = "unreached"
+    UNREACHABLE = "unreached"
     UNSENT = "unsent"
     TIMED_OUT = "timed-out"
     ABANDONED = "abandoned"
--- a/packages/plumsaddle-core/plumsaddle_core/ops/attempt.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/attempt.py
@@ -13,7 +13,7 @@
 from ..core.traffic import SendOutcome
 
 NOT_RUN = {SendOutcome.NOT_RUN, SendOutcome.WRONG_TARGET}
-NOT_SENT = {SendOutcome.UNREACHED, SendOutcome.UNSENT}
+NOT_SENT = {SendOutcome.UNREACHABLE, SendOutcome.UNSENT}
 
 
 class Stage(enum.Enum):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -49,7 +49,7 @@
 ANSWER_PART = 0.1
 SIGNS = {
     SendOutcome.SUCCEEDED: HealthSignal.SUCCEEDED,
-    SendOutcome.UNREACHED: HealthSignal.UNREACHABLE,
+    SendOutcome.UNREACHABLE: HealthSignal.UNREACHABLE,
     # Somebody else has the address, so the target is gone although it is still listed.
     SendOutcome.WRONG_TARGET: HealthSignal.UNREACHABLE,
     SendOutcome.TIMED_OUT: HealthSignal.STUCK,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
@@ -90,7 +90,7 @@
         if isinstance(link, Unconnected):
             if link is Unconnected.REFUSED:
                 self._endings.note_refused(target)
-            return Sent(SendOutcome.UNREACHED, None, Connection(link.value))
+            return Sent(SendOutcome.UNREACHABLE, None, Connection(link.value))
         at = now()
         age = round(at - link.opened_at, 3)
         idle = 0.0 if is_new else round(at - link.used_at, 3)
