--- a/packages/plumsaddle-core/plumsaddle_core/ops/elsewhere.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/elsewhere.py
@@ -8,7 +8,7 @@
 
 from collections import Counter
 
-from .news import RemoteLoadTotal
+from .peer_updates import RemoteLoadTotal
 
 # Work in flight elsewhere is told ten times a second; after this many seconds without
 # it a data centre is cut off, and what it had in flight has mostly ended.
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -33,7 +33,15 @@
 )
 from .elsewhere import Elsewhere
 from .floor import Results
-from .news import Counts, Evidence, HealthSignal, Inbox, Outbox, OutcomeRecord, tag_of
+from .peer_updates import (
+    Counts,
+    Evidence,
+    HealthSignal,
+    Inbox,
+    Outbox,
+    OutcomeRecord,
+    tag_of,
+)
 from .share import RetryShare
 from .suspects import SuspectRequests
 from .times import RouteTimes
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
@@ -6,7 +6,7 @@
 
 from ..core.traffic import RequestKind, Target, TargetState
 from .choice import Candidate, Demand, choose_target
-from .news import Counts, HealthSignal, OutcomeRecord, PeerUpdate, tag_of
+from .peer_updates import Counts, HealthSignal, OutcomeRecord, PeerUpdate, tag_of
 from .share import SPENT_PART, RetryShare
 from .shared_state import SILENT_AFTER, SharedState
 from .times import USUAL_AT_FIRST
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -19,7 +19,7 @@
 from plumsaddle_core.limits.targets import TargetLimits
 from plumsaddle_core.ops.choice import Candidate, Demand, Rule, choose_target
 from plumsaddle_core.ops.floor import Trials
-from plumsaddle_core.ops.news import DEFERRABLE_OUTCOMES, HealthSignal
+from plumsaddle_core.ops.peer_updates import DEFERRABLE_OUTCOMES, HealthSignal
 from plumsaddle_core.ops.registry import Registry
 from plumsaddle_core.ops.shared_state import SharedState
 from plumsaddle_core.ops.subset import (
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -16,7 +16,7 @@
     READERS,
     UNHEARD_FOR,
 )
-from plumsaddle_core.ops.news import HealthSignal, tag_of
+from plumsaddle_core.ops.peer_updates import HealthSignal, tag_of
 from plumsaddle_core.ops.shared_state import SharedState
 from plumsaddle_core.ops.suspects import RunRecord
 
