--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -21,7 +21,8 @@
 from ..limits.membership import Membership
 from ..limits.quotas import Quotas
 from ..limits.targets import TargetLimits
-from .belief import (
+from .elsewhere import Elsewhere
+from .failure_estimator import (
     FAILURE_LIKELIHOOD_RATIO,
     MAX_SILENCE_LIKELIHOOD_RATIO,
     PATH_MODEL,
@@ -31,7 +32,6 @@
     FailureEstimator,
     rare_outcome_likelihood_ratio,
 )
-from .elsewhere import Elsewhere
 from .floor import Results
 from .peer_updates import (
     Counts,
