--- a/packages/plumsaddle-core/plumsaddle_core/ops/share.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/share.py
@@ -20,7 +20,7 @@
 SPENT_PART = 0.8
 
 
-class RetryShare:
+class CentreRetryBudget:
     """
     The requests and retries of one service in a data centre in the last window.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -42,7 +42,7 @@
     OutcomeRecord,
     tag_of,
 )
-from .share import RetryShare
+from .share import CentreRetryBudget
 from .suspects import SuspectRequests
 from .times import RouteTimes
 
@@ -206,7 +206,7 @@
     def _share(self, service):
         share = self._shares.get(service)
         if share is None:
-            share = self._shares[service] = RetryShare(self._ratio, self._window)
+            share = self._shares[service] = CentreRetryBudget(self._ratio, self._window)
         return share
 
     def own_in_flight(self):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
@@ -7,7 +7,7 @@
 from ..core.traffic import RequestKind, Target, TargetState
 from .choice import Candidate, Demand, choose_target
 from .peer_updates import Counts, HealthSignal, OutcomeRecord, PeerUpdate, tag_of
-from .share import SPENT_PART, RetryShare
+from .share import SPENT_PART, CentreRetryBudget
 from .shared_state import SILENT_AFTER, SharedState
 from .times import USUAL_AT_FIRST
 
@@ -197,7 +197,7 @@
 
 
 def test_a_share_forgets_what_is_older_than_its_window():
-    share = RetryShare(0.5, 10.0)
+    share = CentreRetryBudget(0.5, 10.0)
     share.note_requests(10, 0.0)
     assert share.may_retry(0.0, 1.0)
     assert not share.may_retry(0.0, 10.5)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ..core.traffic import RequestKind, Route, Share, Workspace
-from .share import RetryShare
+from .share import CentreRetryBudget
 from .urgency import (
     Rank,
     patience,
@@ -63,7 +63,7 @@
     Half of a service's targets refuse, and the look-ups of the others, ten times as
     many, have used up what the data centre may send again.
     """
-    share = RetryShare(0.2, 10.0)
+    share = CentreRetryBudget(0.2, 10.0)
     share.note_requests(1000, 0.0)
     spent = 0
     while share.may_retry(0.0, 1.0, retries_part(0.0)):
