--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -21,6 +21,7 @@
 from ..limits.membership import Membership
 from ..limits.quotas import Quotas
 from ..limits.targets import TargetLimits
+from .centre_retry_budget import CentreRetryBudget
 from .elsewhere import Elsewhere
 from .failure_estimator import (
     FAILURE_LIKELIHOOD_RATIO,
@@ -42,7 +43,6 @@
     OutcomeRecord,
     tag_of,
 )
-from .share import CentreRetryBudget
 from .suspects import SuspectRequests
 from .times import RouteTimes
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
@@ -5,9 +5,9 @@
 import random
 
 from ..core.traffic import RequestKind, Target, TargetState
+from .centre_retry_budget import SPENT_PART, CentreRetryBudget
 from .choice import Candidate, Demand, choose_target
 from .peer_updates import Counts, HealthSignal, OutcomeRecord, PeerUpdate, tag_of
-from .share import SPENT_PART, CentreRetryBudget
 from .shared_state import SILENT_AFTER, SharedState
 from .times import USUAL_AT_FIRST
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ..core.traffic import RequestKind, Route, Share, Workspace
-from .share import CentreRetryBudget
+from .centre_retry_budget import CentreRetryBudget
 from .urgency import (
     Rank,
     patience,
