--- a/packages/plumsaddle-core/plumsaddle_core/ops/budget.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/budget.py
@@ -12,7 +12,7 @@
 MOST = 100.0
 
 
-class Budget:
+class HostRetryBudget:
     """
     A token bucket that requests fill and retries empty.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
@@ -8,7 +8,7 @@
 """
 
 from plumsaddle_core.core.data import FailureKind, HealthSignal, RequestKind
-from plumsaddle_core.ops.budget import Budget
+from plumsaddle_core.ops.budget import HostRetryBudget
 from plumsaddle_core.ops.ejection import note_trial
 from plumsaddle_core.ops.evidence import Evidence
 from plumsaddle_core.ops.latency import Latency
@@ -48,7 +48,7 @@
         self.pool = Pool(service, hosts_max)
         self.room = WaitingRoom(self.pool, ask_keeper, rng)
         self.evidence = Evidence(own, service.weighing, centre_of)
-        self.budget = Budget(service.retry_ratio)
+        self.budget = HostRetryBudget(service.retry_ratio)
         self.latencies = {kind: Latency() for kind in RequestKind}
         self.tries = set()
         self._has_bad_news = False
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -14,7 +14,7 @@
     HealthState,
     RequestKind,
 )
-from plumsaddle_core.ops.budget import Budget
+from plumsaddle_core.ops.budget import HostRetryBudget
 from plumsaddle_core.ops.ejection import note_trial, review, suspects_itself
 from plumsaddle_core.ops.evidence import Evidence
 from plumsaddle_core.ops.latency import Latency
@@ -42,7 +42,7 @@
         self.pool = Pool(service, hosts)
         self.evidence = Evidence(f"host-{number}@1", service.weighing, centre_of)
         self.latency = Latency()
-        self.budget = Budget(service.retry_ratio)
+        self.budget = HostRetryBudget(service.retry_ratio)
         self.tries = set()
         self.is_urgent = False
         self.ejections = []
