--- a/packages/plumsaddle-core/plumsaddle_core/ops/budget.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/budget.py
@@ -28,13 +28,13 @@
         """Count a request that came in."""
         self.tokens = min(MOST, self.tokens + self.ratio)
 
-    def has_any(self):
+    def has_retry(self):
         """Return whether a retry could go out now."""
         return self.tokens >= 1.0
 
     def take(self):
         """Return whether a retry may go out, and count it if so."""
-        if not self.has_any():
+        if not self.has_retry():
             return False
         self.tokens -= 1.0
         return True
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
@@ -95,7 +95,7 @@
         costs a second try, so it is done only while the budget has one.
         """
         overdue_after = self.latencies[kind].overdue_after()
-        if overdue_after is None or not self.budget.has_any():
+        if overdue_after is None or not self.budget.has_retry():
             return None
         at = now + max(overdue_after, OVERDUE_LEAST)
         return at if at < deadline and not self.pool.is_shared_fate else None
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -61,7 +61,7 @@
         self.tries.add(begun)
         overdue_after = self.latency.overdue_after()
         is_last = len(begun.request.tried) + 1 >= TRIES_MOST
-        if is_last or overdue_after is None or not self.budget.has_any():
+        if is_last or overdue_after is None or not self.budget.has_retry():
             return None
         if self.pool.is_shared_fate:
             return None
