--- a/packages/plumsaddle-core/plumsaddle_core/ops/budget.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/budget.py
@@ -32,7 +32,7 @@
         """Return whether a retry could go out now."""
         return self.tokens >= 1.0
 
-    def take(self):
+    def spend(self):
         """Return whether a retry may go out, and count it if so."""
         if not self.has_retry():
             return False
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/front/plain.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/front/plain.py
@@ -130,7 +130,7 @@
         return True
     if tried >= TRIES_MOST or state.pool.is_shared_fate:
         return False
-    return trouble.is_unsent or state.budget.take()
+    return trouble.is_unsent or state.budget.spend()
 
 
 async def read_body(incoming, most, deadline):
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -82,7 +82,7 @@
         if trouble in (None, FailureKind.SHED):
             return True
         is_cheap = trouble is FailureKind.CONNECT
-        return not self.pool.is_shared_fate and (is_cheap or self.budget.take())
+        return not self.pool.is_shared_fate and (is_cheap or self.budget.spend())
 
     def _note(self, noted, sign, now):
         if noted.sign is HealthSignal.FAILED:
