--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -10,7 +10,7 @@
 
 from plumsaddle_core.core.traffic import Bounds, HostSettings
 from plumsaddle_core.ops.elsewhere import LOAD_FOR
-from plumsaddle_core.ops.neighbours import (
+from plumsaddle_core.ops.peer_table import (
     AVOIDED_FOR,
     HUB_SILENT_FOR,
     READERS,
