--- a/packages/plumsaddle-core/plumsaddle_core/ops/fingerprint.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/fingerprint.py
@@ -23,7 +23,7 @@
 CREDENTIALS = (b"authorization", b"cookie")
 # Bytes of a body that count. A longer one is passed on while it comes, and no more than
 # this is ever at hand of it; its length may not be known before its end.
-BODY_MOST = 524288
+MAX_HASHED_BODY = 524288
 _LENGTH = struct.Struct(">q")
 
 
@@ -55,6 +55,6 @@
     for part in parts:
         digest.update(_LENGTH.pack(len(part)))
         digest.update(part)
-    digest.update(_LENGTH.pack(len(body) if len(body) <= BODY_MOST else -1))
-    digest.update(body[:BODY_MOST])
+    digest.update(_LENGTH.pack(len(body) if len(body) <= MAX_HASHED_BODY else -1))
+    digest.update(body[:MAX_HASHED_BODY])
     return RequestKey(digest.hexdigest())
--- a/packages/plumsaddle-core/plumsaddle_core/ops/fingerprint_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/fingerprint_test.py
@@ -4,7 +4,7 @@
 
 import itertools
 
-from .fingerprint import BODY_MOST, request_key
+from .fingerprint import MAX_HASHED_BODY, request_key
 
 
 def _headers(host=b"records.example", **more):
@@ -57,6 +57,6 @@
     It is passed on while it comes, and how much of it has come by then differs.
     """
     long = bytes(range(256)) * 4096
-    keys = {request_key(*ONE[:3], long[: BODY_MOST + more]) for more in (1, 9000)}
+    keys = {request_key(*ONE[:3], long[: MAX_HASHED_BODY + more]) for more in (1, 9000)}
     assert len(keys) == 1
-    assert request_key(*ONE[:3], long[:BODY_MOST]) not in keys
+    assert request_key(*ONE[:3], long[:MAX_HASHED_BODY]) not in keys
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
@@ -13,7 +13,7 @@
 from multidict import CIMultiDict
 
 from plumsaddle_core.core.traffic import Reply
-from plumsaddle_core.ops.fingerprint import BODY_MOST
+from plumsaddle_core.ops.fingerprint import MAX_HASHED_BODY
 from plumsaddle_core.ops.table import choose_service, find_route
 from plumsaddle_core.ops.workspaces import digest_of, read_key, show_digest
 
@@ -26,7 +26,7 @@
 log = logging.getLogger("front")
 # Bodies up to this many bytes are read whole first; what tells a request that comes
 # again from others is then at hand.
-WHOLE_MOST = BODY_MOST
+WHOLE_MOST = MAX_HASHED_BODY
 # Bytes of bodies that a host holds at a time; a third of the memory that the smallest
 # hosts have. What comes on top is refused at once.
 HELD_MOST = 64 * 1024 * 1024
