--- a/packages/plumsaddle-core/plumsaddle_core/ops/claims.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/claims.py
@@ -62,7 +62,7 @@
         self._local = {}
         self._owned = {}
 
-    def answer_known(self, key, key_time, fingerprint):
+    def answer_from_log(self, key, key_time, fingerprint):
         """
         Answer from what the log has already said of a key.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/claims_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/claims_test.py
@@ -142,7 +142,7 @@
     )
     def call(self, number, key, body, fate):
         host = self.hosts[number]
-        known = host.claims.answer_known(key, KEY_TIMES[key], body)
+        known = host.claims.answer_from_log(key, KEY_TIMES[key], body)
         if known is not None and self.asks_the_log:
             return
         claim = Claim(key, KEY_TIMES[key], body, next(self.ids), host.name, key)
@@ -384,7 +384,7 @@
     assert decisions == []
     assert releases == [Released("k1", 100, "c1")]
     claims.feed(Record(1, tuple(releases)))
-    assert claims.answer_known("k1", 100, "a") is None
+    assert claims.answer_from_log("k1", 100, "a") is None
 
 
 def test_release_that_overtakes_its_claim_keeps_it_dead():
@@ -396,7 +396,7 @@
     claims = new_claims("other@1")
     claims.feed(Record(0, (Released("k1", 100, "c1"),)))
     claims.feed(Record(1, (make_claim("c1"),)))
-    assert claims.answer_known("k1", 100, "a") is None
+    assert claims.answer_from_log("k1", 100, "a") is None
 
 
 def test_what_a_repeated_key_is_told():
@@ -404,14 +404,14 @@
     claim = make_claim("c1")
     claims.begin(claim)
     claims.feed(Record(0, (claim,)))
-    running = claims.answer_known("k1", 100, "a")
+    running = claims.answer_from_log("k1", 100, "a")
     assert (running.reason, running.outcome) == (Reason.ORDER_RUNNING, Outcome.UNKNOWN)
-    reused = claims.answer_known("k1", 100, "b")
+    reused = claims.answer_from_log("k1", 100, "b")
     assert (reused.reason, reused.outcome) == (Reason.KEY_REUSED, Outcome.NOT_RUN)
     assert claims.start_sending("c1")
     assert not claims.start_sending("c1")
     claims.feed(Record(1, tuple(claims.finish("c1", 201, "text/plain", b"done"))))
-    assert claims.answer_known("k1", 100, "a").body == b"done"
+    assert claims.answer_from_log("k1", 100, "a").body == b"done"
 
 
 def test_orphaned_claim_is_unknown_and_can_be_settled():
@@ -423,9 +423,9 @@
     claims = Claims(new_order_fold(), "h@2", lambda other: other == "h@1")
     claims.fold.begin_read(0)
     claims.feed(Record(0, (make_claim("c1", host="h@1"),)))
-    assert claims.answer_known("k1", 100, "a").reason is Reason.ORDER_UNKNOWN
+    assert claims.answer_from_log("k1", 100, "a").reason is Reason.ORDER_UNKNOWN
     claims.feed(Record(1, (Settled("k1", "c1", True, "op"),)))
-    assert claims.answer_known("k1", 100, "a").outcome is Outcome.RUN
+    assert claims.answer_from_log("k1", 100, "a").outcome is Outcome.RUN
 
 
 def test_key_past_the_horizon_is_refused_and_never_run():
@@ -436,7 +436,7 @@
     """
     claims = new_claims()
     claims.feed(Record(0, (Horizon(150),)))
-    assert claims.answer_known("k1", 100, "a").reason is Reason.KEY_EXPIRED
+    assert claims.answer_from_log("k1", 100, "a").reason is Reason.KEY_EXPIRED
     claim = make_claim("c1")
     claims.begin(claim)
     decisions, _ = claims.feed(Record(1, (claim,)))
@@ -453,9 +453,9 @@
     claims = new_claims()
     claims.feed(Record(0, (make_claim("c1"),)))
     assert claims.fold.begin_read(5)
-    assert claims.answer_known("k2", 200, "a").reason is Reason.ORDERS_INCOMPLETE
+    assert claims.answer_from_log("k2", 200, "a").reason is Reason.ORDERS_INCOMPLETE
     claims.feed(Record(5, (Checkpoint("x", 4, 0, 1, [0]),)))
-    assert claims.answer_known("k2", 200, "a") is None
+    assert claims.answer_from_log("k2", 200, "a") is None
 
 
 def test_claim_that_lost_stays_dead_when_the_key_is_free_again():
@@ -468,7 +468,7 @@
     winner, loser = make_claim("c1"), make_claim("c2", host="h@2")
     claims.feed(Record(0, (winner, loser)))
     claims.feed(Record(1, (Released("k1", 100, "c1"), loser)))
-    assert claims.answer_known("k1", 100, "a") is None
+    assert claims.answer_from_log("k1", 100, "a") is None
 
 
 def test_copy_of_a_released_claim_stays_dead():
@@ -480,7 +480,7 @@
     claims = new_claims("other@1")
     claim = make_claim("c1")
     claims.feed(Record(0, (claim, Released("k1", 100, "c1"), claim)))
-    assert claims.answer_known("k1", 100, "a") is None
+    assert claims.answer_from_log("k1", 100, "a") is None
 
 
 def test_checkpoint_with_a_hole_behind_it_is_not_used():
@@ -494,9 +494,9 @@
     claims.fold = new_order_fold()
     claims.fold.begin_read(4)
     claims.feed(Record(4, (Checkpoint("x", 2, 0, 1, [0]),)))
-    assert claims.answer_known("k1", 100, "a").reason is Reason.ORDERS_INCOMPLETE
+    assert claims.answer_from_log("k1", 100, "a").reason is Reason.ORDERS_INCOMPLETE
     claims.feed(Record(5, (Checkpoint("y", 3, 0, 1, [0]),)))
-    assert claims.answer_known("k1", 100, "a") is None
+    assert claims.answer_from_log("k1", 100, "a") is None
 
 
 def test_outcome_on_its_way_to_the_log_is_not_unknown():
@@ -511,7 +511,7 @@
     claims.feed(Record(0, (claim,)))
     claims.start_sending("c1")
     outcome = claims.finish("c1", 200, "", b"done")
-    assert claims.answer_known("k1", 100, "a").reason is Reason.ORDER_RUNNING
+    assert claims.answer_from_log("k1", 100, "a").reason is Reason.ORDER_RUNNING
     assert claims.open_claims() == []
     claims.feed(Record(1, tuple(outcome)))
-    assert claims.answer_known("k1", 100, "a").body == b"done"
+    assert claims.answer_from_log("k1", 100, "a").body == b"done"
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/front/orders.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/front/orders.py
@@ -77,7 +77,7 @@
 
 def _answer_known(shard, key, print_of):
     """Return a result from what the log has said of a key, or None."""
-    known = shard.claims.answer_known(key.key, key.key_time, print_of)
+    known = shard.claims.answer_from_log(key.key, key.key_time, print_of)
     if known is None:
         return None
     return Success(known) if isinstance(known, Replay) else Failure(known)
