--- a/packages/plumsaddle-core/plumsaddle_core/ops/claims.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/claims.py
@@ -98,7 +98,7 @@
             return entry.claim not in self._local
         return self.is_gone(entry.host)
 
-    def begin(self, claim):
+    def register(self, claim):
         """
         Take up a claim that is about to be appended.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/claims_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/claims_test.py
@@ -147,7 +147,7 @@
             return
         claim = Claim(key, KEY_TIMES[key], body, next(self.ids), host.name, key)
         self.claim_of[claim.claim] = claim
-        host.claims.begin(claim)
+        host.claims.register(claim)
         host.waiting.add(claim.claim)
         host.begun.add(claim.claim)
         if fate in ("taken", "lost"):
@@ -378,7 +378,7 @@
     """
     claims = new_claims()
     claim = make_claim("c1")
-    claims.begin(claim)
+    claims.register(claim)
     assert claims.give_up("c1") == []
     decisions, releases = claims.feed(Record(0, (claim,)))
     assert decisions == []
@@ -402,7 +402,7 @@
 def test_what_a_repeated_key_is_told():
     claims = new_claims()
     claim = make_claim("c1")
-    claims.begin(claim)
+    claims.register(claim)
     claims.feed(Record(0, (claim,)))
     running = claims.answer_from_log("k1", 100, "a")
     assert (running.reason, running.outcome) == (Reason.ORDER_RUNNING, Outcome.UNKNOWN)
@@ -438,7 +438,7 @@
     claims.feed(Record(0, (Horizon(150),)))
     assert claims.answer_from_log("k1", 100, "a").reason is Reason.KEY_EXPIRED
     claim = make_claim("c1")
-    claims.begin(claim)
+    claims.register(claim)
     decisions, _ = claims.feed(Record(1, (claim,)))
     assert [d.is_won for d in decisions] == [False]
 
@@ -507,7 +507,7 @@
     """
     claims = new_claims()
     claim = make_claim("c1")
-    claims.begin(claim)
+    claims.register(claim)
     claims.feed(Record(0, (claim,)))
     claims.start_sending("c1")
     outcome = claims.finish("c1", 200, "", b"done")
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/shards.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/shards.py
@@ -97,7 +97,7 @@
         loop = asyncio.get_running_loop()
         decided = loop.create_future()
         self._waiters[claim.claim] = decided
-        self.claims.begin(claim)
+        self.claims.register(claim)
         appended = self.batcher.submit([claim])
         try:
             until = min(deadline, loop.time() + CLAIM_WAIT)
