--- a/packages/plumsaddle-core/plumsaddle_core/ops/versions.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/versions.py
@@ -47,7 +47,7 @@
 
     def __init__(self, current=NO_VERSION):
         self.current = current
-        self.verdicts = {}
+        self.results = {}
 
     def record_verdict(self, proposal_id, number):
         """
@@ -58,11 +58,11 @@
         one was accepted. Verdicts inform; the rule above never looks at them,
         since a host that started from a checkpoint has fewer of them.
         """
-        if self.verdicts.get(proposal_id, 0) > 0:
+        if self.results.get(proposal_id, 0) > 0:
             return
-        self.verdicts[proposal_id] = number
-        while len(self.verdicts) > self.VERDICTS_KEPT:
-            self.verdicts.pop(next(iter(self.verdicts)))
+        self.results[proposal_id] = number
+        while len(self.results) > self.VERDICTS_KEPT:
+            self.results.pop(next(iter(self.results)))
 
 
 def apply_proposal(versions, proposal, offset):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/versions_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/versions_test.py
@@ -206,7 +206,7 @@
     apply_proposal(versions, Proposal("a", 0, "A", "ann"), 0)
     apply_proposal(versions, Proposal("b", 0, "B", "bob"), 1)
     assert versions.current.author == "ann"
-    assert versions.verdicts == {"a": 1, "b": -1}
+    assert versions.results == {"a": 1, "b": -1}
 
 
 def test_second_copy_of_an_accepted_proposal_stays_accepted():
@@ -218,7 +218,7 @@
     versions = Versions()
     for _ in range(2):
         apply_proposal(versions, Proposal("a", 0, "A", "ann"), 0)
-    assert versions.verdicts == {"a": 1}
+    assert versions.results == {"a": 1}
 
 
 def test_newcomer_does_not_take_the_loser_of_a_race_for_the_winner():
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/scripts/log.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/scripts/log.py
@@ -75,7 +75,7 @@
         until = time.monotonic() + seconds
         while True:
             await self.catch_up()
-            verdict = self.fold.state.verdicts.get(proposal.id)
+            verdict = self.fold.state.results.get(proposal.id)
             if verdict is not None or time.monotonic() >= until:
                 return verdict
             await asyncio.sleep(READ_PAUSE)
