--- a/packages/plumsaddle-core/plumsaddle_core/ops/anchor.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/anchor.py
@@ -51,7 +51,7 @@
         self.state = new_state()
         self.complete = False
         self.next_offset = Offset(0)
-        self.checkpoint_seen = -1
+        self.newest_checkpoint = -1
         self._started = False
         self._new_state = new_state
         self._apply = apply
@@ -132,7 +132,7 @@
 
     def _take_part(self, checkpoint):
         """Keep a part, and start from its checkpoint once it is whole and usable."""
-        self.checkpoint_seen = max(self.checkpoint_seen, checkpoint.as_of)
+        self.newest_checkpoint = max(self.newest_checkpoint, checkpoint.as_of)
         if self.complete or checkpoint.as_of < self._first_kept() - 1:
             return
         parts = self._parts.setdefault(checkpoint.id, {})
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/checkpoints.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/checkpoints.py
@@ -43,13 +43,13 @@
             # replaced faster than the period and each waited it out, none would
             # ever be written; so the first wait is only a part of it.
             due = now + every * rng.uniform(0, 1)
-        elif fold.checkpoint_seen > seen:
+        elif fold.newest_checkpoint > seen:
             due = now + every * rng.uniform(1, 1.5)
         if fold.complete and now >= due and not batcher.pending():
             due = now + every * rng.uniform(1, 1.5)
             for events in self._records(fold, dump):
                 batcher.deliver(events)
-        self._due[batcher.stream] = (fold.checkpoint_seen, due)
+        self._due[batcher.stream] = (fold.newest_checkpoint, due)
 
     def _records(self, fold, dump):
         """Return the records of a checkpoint, led by the horizon for orders."""
