--- a/packages/plumsaddle-core/plumsaddle_core/ops/claims.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/claims.py
@@ -14,7 +14,7 @@
 from ..core.data import Outcome
 from ..core.ids import ClaimId, Incarnation
 from ..core.reasons import Reason, refuse
-from .anchor import Record
+from .fold import Record
 from .orders import Claim, ClaimState, Done, Released, Unknown
 
 OUTCOMES = (Done, Unknown, Released)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/claims_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/claims_test.py
@@ -22,8 +22,8 @@
 
 from ..core.data import Outcome
 from ..core.reasons import Reason
-from .anchor import Checkpoint, Record
 from .claims import Claims
+from .fold import Checkpoint, Record
 from .orders import (
     Claim,
     ClaimState,
--- a/packages/plumsaddle-core/plumsaddle_core/ops/orders.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/orders.py
@@ -17,7 +17,7 @@
 from typing import NamedTuple
 
 from ..core.ids import ClaimId, Incarnation, OrderKey
-from .anchor import Fold
+from .fold import Fold
 
 
 class ClaimState(enum.Enum):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/versions.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/versions.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from ..core.ids import VersionNumber
-from .anchor import Fold
+from .fold import Fold
 
 
 class Proposal(NamedTuple):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/versions_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/versions_test.py
@@ -17,7 +17,7 @@
     run_state_machine_as_test,
 )
 
-from .anchor import Checkpoint, Record
+from .fold import Checkpoint, Record
 from .versions import (
     Proposal,
     Version,
--- a/packages/plumsaddle-core/plumsaddle_core/utils/codec.py
+++ b/packages/plumsaddle-core/plumsaddle_core/utils/codec.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from ..ops.anchor import Checkpoint
+from ..ops.fold import Checkpoint
 from ..ops.orders import Claim, Done, Horizon, Ping, Released, Settled, Unknown
 from ..ops.versions import Proposal
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/checkpoints.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/checkpoints.py
@@ -8,7 +8,7 @@
 import time
 import uuid
 
-from plumsaddle_core.ops.anchor import Checkpoint
+from plumsaddle_core.ops.fold import Checkpoint
 from plumsaddle_core.ops.orders import Horizon, dump_orders
 from plumsaddle_core.ops.versions import dump_versions
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/tail.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/tail.py
@@ -10,7 +10,7 @@
 
 from returns.result import Success
 
-from plumsaddle_core.ops.anchor import Record
+from plumsaddle_core.ops.fold import Record
 from plumsaddle_core.utils.codec import decode_events
 
 log = logging.getLogger("tail")
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/scripts/log.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/scripts/log.py
@@ -7,7 +7,7 @@
 
 from returns.result import Failure, Success
 
-from plumsaddle_core.ops.anchor import Record
+from plumsaddle_core.ops.fold import Record
 from plumsaddle_core.ops.versions import new_version_fold
 from plumsaddle_core.utils.codec import decode_events
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/slopes.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/slopes.py
@@ -19,8 +19,8 @@
 from returns.result import Success
 
 from plumsaddle_core.core.data import DetectionTradeoff, HealthSignal
-from plumsaddle_core.ops.anchor import Checkpoint, Record
 from plumsaddle_core.ops.evidence import Evidence, Row
+from plumsaddle_core.ops.fold import Checkpoint, Record
 from plumsaddle_core.ops.members import Member, Members
 from plumsaddle_core.ops.orders import Claim, Done, dump_orders, new_order_fold
 from plumsaddle_core.ops.versions import Proposal
