--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -194,7 +194,7 @@
     store: Address
     bounds: Bounds
     link: float | None = None
-    off: frozenset[Feature] = frozenset()
+    disabled_features: frozenset[Feature] = frozenset()
 
     @property
     def has_seeds(self):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -94,7 +94,7 @@
             bounds.retry_ratio,
             bounds.retry_window,
             now(),
-            has_paths=Feature.PATHS not in settings.off,
+            has_paths=Feature.PATHS not in settings.disabled_features,
             quotas=Quotas(
                 Tolerance(
                     bounds.quota_window, bounds.quota_overshoot, bounds.quota_slack
@@ -282,7 +282,9 @@
 
     def _choose_usable(self, service, usable, demand, excluded, has_link, at):
         """Choose among targets to which a request may be sent at once."""
-        may_try = not excluded and Feature.FLOOR_TRIALS not in self.settings.off
+        may_try = (
+            not excluded and Feature.FLOOR_TRIALS not in self.settings.disabled_features
+        )
         trial = self._find_trial(service, usable, at) if may_try else None
         if trial is not None:
             tried = [target for target in usable if target.incarnation == trial]
@@ -346,7 +348,7 @@
             self.shared.in_flight(target.incarnation),
             at < target.read_at + target.cold_for,
             is_near,
-            Feature.OPEN_CONNECTIONS not in self.settings.off
+            Feature.OPEN_CONNECTIONS not in self.settings.disabled_features
             and has_link(target.incarnation),
             is_near or self.shared.knows_load(target.centre, at),
             self.limits.wait(target, at),
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -178,7 +178,7 @@
             extra={
                 "callers": self.settings.callers,
                 "store": self.settings.store,
-                "off": sorted(part.value for part in self.settings.off),
+                "off": sorted(part.value for part in self.settings.disabled_features),
             },
         )
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -195,7 +195,7 @@
     def _may_hedge(self):
         return (
             not self._is_hedged
-            and Feature.SECOND_SENDS not in self._knowledge.settings.off
+            and Feature.SECOND_SENDS not in self._knowledge.settings.disabled_features
             and self._ask.route.kind.may_repeat
             and self._attempt.may_send()
             and self._suspicion.may_hedge()
@@ -424,7 +424,7 @@
                 HEDGE_FACTOR, choice
             ):
                 fate = SendOutcome.TIMED_OUT
-            has_waits = Feature.WORK_TIMES in self._knowledge.settings.off
+            has_waits = Feature.WORK_TIMES in self._knowledge.settings.disabled_features
             work = seconds if has_waits else seconds / choice.load
             if not is_stuck:
                 self._knowledge.note(target, self._ask.route, fate, work)
