--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -49,7 +49,7 @@
     One life of a worker process, as the registry lists it.
 
     `id` tells a target from a stranger that was given the same address. A target may
-    start again under its id and then knows nothing of before; `born` is the Unix
+    start again under its id and then knows nothing of before; `started_at` is the Unix
     millisecond of its start, or 0 if its entry does not tell. `cold_for` are the
     seconds for which the target said it would still be slow, counted from `read_at`.
     """
@@ -62,7 +62,7 @@
     state: TargetState
     cold_for: float
     read_at: float
-    born: int = 0
+    started_at: int = 0
 
     @property
     def incarnation(self):
@@ -73,15 +73,15 @@
         never be taken for news of this one, however late it arrives. The last 32 bits
         of the start are told, which repeat after 49 days.
         """
-        return _life_of(self.id, self.born)
+        return _life_of(self.id, self.started_at)
 
 
 @functools.lru_cache(maxsize=65536)
-def _life_of(target_id, born):
+def _life_of(target_id, started_at):
     """Return a life's name; each choice asks for those of all targets."""
-    if not born:
+    if not started_at:
         return TargetIncarnation(target_id)
-    return TargetIncarnation(f"{target_id}~{born & 0xFFFFFFFF:x}")
+    return TargetIncarnation(f"{target_id}~{started_at & 0xFFFFFFFF:x}")
 
 
 def target_id_of(life):
--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
@@ -126,7 +126,7 @@
 
 def test_a_restarted_target_begins_without_a_limit():
     limits = _sole()
-    old = _target(1)._replace(born=1)
+    old = _target(1)._replace(started_at=1)
     _name(limits, 0.5, [old])
-    new = old._replace(born=2)
+    new = old._replace(started_at=2)
     assert limits.admissible([new], "x", 0.0, 2, 1.0) == [new]
--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -83,7 +83,7 @@
     assert registry.put(_target(2000), 4, 3.0) is None
     # A record of before that is read later, as from a listing, is no restart.
     assert registry.put(_target(1000), 2, 4.0) is None
-    assert registry.targets["t"].born == 2000
+    assert registry.targets["t"].started_at == 2000
 
 
 def test_a_restart_during_an_outage_of_the_store_is_no_lapse():
@@ -99,9 +99,9 @@
     registry.note_store_back(9.0)
     registry.drop(registry.missing(set(), 5), 9.1)
     former = registry.put(_target(2000), 6, 9.5)
-    assert former.born == 1000
+    assert former.started_at == 1000
     assert not registry.expire(20.0)
-    assert [target.born for target in registry.usable("look")] == [2000]
+    assert [target.started_at for target in registry.usable("look")] == [2000]
 
 
 ENTRIES = st.lists(
@@ -132,7 +132,7 @@
         if offset >= newest.get("offset", -1):
             newest = {"offset": offset, "what": what, "at": (born, service)}
     usable = {
-        (target.born, name)
+        (target.started_at, name)
         for name in ("look", "act")
         for target in registry.usable(name)
     }
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -211,7 +211,7 @@
             "listed",
             extra={
                 "target": target.id,
-                "born": target.born,
+                "born": target.started_at,
                 "service": target.service,
                 "address": target.address,
                 "state": target.state.value,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/wire_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/wire_test.py
@@ -34,9 +34,9 @@
 
 def test_a_good_entry_names_a_target():
     target = _decode(state="draining", more={"a": 1}).unwrap()
-    assert (target.born, target.cold_for) == (GOOD["born"], 0.5)
+    assert (target.started_at, target.cold_for) == (GOOD["born"], 0.5)
     assert target.state is TargetState.DRAINING
-    assert _decode(born=...).unwrap().born == 0
+    assert _decode(born=...).unwrap().started_at == 0
 
 
 @pytest.mark.parametrize("name", [name for name in GOOD if name != "born"])
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_lives_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_lives_test.py
@@ -71,7 +71,7 @@
         trial.store.put(TARGETS, worker.id, worker.entry(born=BORN_AGAIN))
         trial.store.fault = Fault.NONE
         targets = trial.hosts[0].knowledge.registry.targets
-        await until(lambda: targets[worker.id].born == BORN_AGAIN)
+        await until(lambda: targets[worker.id].started_at == BORN_AGAIN)
         assert shared.fails(targets[worker.id].incarnation, now()) < 0.3
         assert former not in shared.beliefs
 
