--- a/packages/plumsaddle-standins/plumsaddle_standins/trial.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/trial.py
@@ -187,7 +187,7 @@
             tuple(seeds),
             self.store_address,
             self._bounds,
-            off=self._off,
+            disabled_features=self._off,
         )
         host = Host(settings, "/nonexistent")
         await host.start()
