--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -22,7 +22,6 @@
 from ..limits.quotas import Quotas
 from ..limits.targets import TargetLimits
 from .centre_retry_budget import CentreRetryBudget
-from .elsewhere import Elsewhere
 from .failure_estimator import (
     FAILURE_LIKELIHOOD_RATIO,
     MAX_SILENCE_LIKELIHOOD_RATIO,
@@ -43,6 +42,7 @@
     OutcomeRecord,
     tag_of,
 )
+from .remote_load import Elsewhere
 from .suspects import SuspectRequests
 from .times import RouteTimes
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -9,7 +9,6 @@
 from hypothesis import example, given, settings, strategies as st
 
 from plumsaddle_core.core.traffic import Bounds, HostSettings
-from plumsaddle_core.ops.elsewhere import LOAD_FOR
 from plumsaddle_core.ops.peer_table import (
     AVOIDED_FOR,
     HUB_SILENT_FOR,
@@ -17,6 +16,7 @@
     UNHEARD_FOR,
 )
 from plumsaddle_core.ops.peer_updates import HealthSignal, tag_of
+from plumsaddle_core.ops.remote_load import LOAD_FOR
 from plumsaddle_core.ops.shared_state import SharedState
 from plumsaddle_core.ops.suspects import RunRecord
 
