--- a/packages/plumsaddle-core/plumsaddle_core/ops/table_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/route_table_test.py
@@ -8,7 +8,7 @@
 from hypothesis import given, strategies as st
 
 from ..core.traffic import RequestKind, Route, Share
-from .table import build_table, choose_service, find_route
+from .route_table import build_table, choose_service, find_route
 
 PARTS = st.lists(st.sampled_from(["a", "b", "ab"]), max_size=4)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
@@ -14,7 +14,7 @@
 
 from plumsaddle_core.core.traffic import Reply
 from plumsaddle_core.ops.fingerprint import MAX_HASHED_BODY
-from plumsaddle_core.ops.table import choose_service, find_route
+from plumsaddle_core.ops.route_table import choose_service, find_route
 from plumsaddle_core.ops.workspaces import digest_of, read_key, show_digest
 
 from ..front.headers import HOP_BY_HOP
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -21,6 +21,7 @@
 from plumsaddle_core.ops.floor import Trials
 from plumsaddle_core.ops.peer_updates import DEFERRABLE_OUTCOMES, HealthSignal
 from plumsaddle_core.ops.registry import Registry
+from plumsaddle_core.ops.route_table import build_table
 from plumsaddle_core.ops.shared_state import SharedState
 from plumsaddle_core.ops.subset import (
     SMALL,
@@ -29,7 +30,6 @@
     rank_targets,
     subset_size,
 )
-from plumsaddle_core.ops.table import build_table
 from plumsaddle_core.ops.urgency import (
     rank_of,
     rank_services,
