--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -240,7 +240,7 @@
         """Return whether a life of a target has just ended under any request."""
         return life in self._ended_lives
 
-    def crashed_lives(self, key):
+    def crashed_incarnations(self, key):
         """Return the lives of targets that have ended under a request, sorted."""
         suspect = self._suspects.get(key)
         return sorted(suspect.ended) if suspect is not None else []
--- a/packages/plumsaddle-standins/plumsaddle_standins/crashes.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/crashes.py
@@ -232,7 +232,8 @@
         suspects = self._trial.hosts[host].knowledge.shared.suspects
         causes = {crash.target: crash.path for crash in self._trial.crashes}
         return [
-            causes.get(life.partition("~")[0]) for life in suspects.crashed_lives(key)
+            causes.get(life.partition("~")[0])
+            for life in suspects.crashed_incarnations(key)
         ]
 
     # Troubles.
