--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -105,14 +105,14 @@
         self._number = 0
         # When the last messages to the hub were sent, by number.
         self._sent_at = {}
-        self._neighbours = PeerTable(settings.peers, settings.link)
-        self._readers = Readers(gate, feeds, self._neighbours, self._send)
+        self._peer_table = PeerTable(settings.peers, settings.link)
+        self._readers = Readers(gate, feeds, self._peer_table, self._send)
         self._others = OtherCentres(settings, shared, self._life, self._send, rng)
         self._collected = Collected()
         self._taking = Taking(
             settings,
             shared,
-            self._neighbours,
+            self._peer_table,
             self._readers,
             self._others,
             self._collected,
@@ -170,7 +170,7 @@
 
     def beat(self, at):
         """Tell the others that this host lives, and look for others."""
-        self._neighbours.forget_silent(at)
+        self._peer_table.forget_silent(at)
         for host in self._shared.forget_silent(at):
             log.info("silent", extra={"peer": host})
         self._shared.quotas.tick(at)
@@ -181,7 +181,7 @@
         else:
             # The hub tells it for all.
             self._shared.evidence.take()
-        if not len(self._neighbours) or self._others.strangers.are_few(at):
+        if not len(self._peer_table) or self._others.strangers.are_few(at):
             self._ask(at)
 
     def _make_beat(self, at):
@@ -189,7 +189,7 @@
         if self._picked_itself():
             # Only hosts heard lately are named, else two hosts would keep naming a dead
             # one to each other for ever.
-            live = self._neighbours.live(at)
+            live = self._peer_table.live(at)
             members = self._rng.sample(live, min(NAMED_IN_BEAT, len(live)))
             strangers = self._others.strangers.some(at)
         return Beat(
@@ -242,10 +242,10 @@
 
     def _pick_hub(self, at):
         """Return whether this host has another hub than before."""
-        former = self._neighbours.hub
-        if not self._neighbours.pick_hub(at):
+        former = self._peer_table.hub
+        if not self._peer_table.pick_hub(at):
             return False
-        log.info("hub", extra={"peer": self._neighbours.hub, "former": former})
+        log.info("hub", extra={"peer": self._peer_table.hub, "former": former})
         return True
 
     def _may_act_alone(self, at):
@@ -261,7 +261,7 @@
 
     def _picked_itself(self):
         """Whether this host is the hub as far as it knows."""
-        return self._neighbours.hub is None
+        return self._peer_table.hub is None
 
     def _is_hub(self, at):
         """Whether this host tells others what it is told."""
@@ -286,7 +286,7 @@
         if not self._picked_itself():
             self._sent_at[self._number] = at
             self._sent_at.pop(self._number - ECHOES_AWAITED, None)
-            self._send(data, self._neighbours.hub)
+            self._send(data, self._peer_table.hub)
         if self._is_hub(at):
             self._collected.add_work(self._settings.id, data)
             self._send_bundle(at)
@@ -333,7 +333,7 @@
             self._summed_at = at
             sums = self._shared.far_sums(at)
         for_all, for_clients = self._collected.take(sums)
-        everyone = self._neighbours.addresses()
+        everyone = self._peer_table.addresses()
         clients = self._collected.clients(at)
         for data in for_all:
             self._send(data, *everyone)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -171,7 +171,7 @@
 
 def _hub(net, hosts):
     """Return the hub that all of some hosts have picked."""
-    hubs = {peers._neighbours.hub or address for peers, _, address in hosts}
+    hubs = {peers._peer_table.hub or address for peers, _, address in hosts}
     assert len(hubs) == 1
     return hubs.pop()
 
@@ -309,7 +309,7 @@
         net.call_later,
     )
     again.connection_made(_Transport(net, address))
-    again._neighbours.hear(hosts[1][2], net.at)
+    again._peer_table.hear(hosts[1][2], net.at)
     fresh.start("t", net.at)
     again.tell_soon(is_urgent=False)
     net.deliver()
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
@@ -22,14 +22,14 @@
     Args:
       gate: The `Gate` that tells how the host stands to the store.
       feeds: Each `Feed` of the host.
-      neighbours: The `PeerTable`.
+      peer_table: The `PeerTable`.
       send: Called with bytes and the addresses to send them to.
     """
 
-    def __init__(self, gate, feeds, neighbours, send):
+    def __init__(self, gate, feeds, peer_table, send):
         self._gate = gate
         self._feeds = {feed.topic: feed for feed in feeds}
-        self._neighbours = neighbours
+        self._peer_table = peer_table
         self._send = send
 
     def contact(self, at):
@@ -45,8 +45,8 @@
           at: The present, in seconds.
         """
         contact = self._gate.contact(at)
-        is_reader = may_read and self._neighbours.is_reader(contact, at)
-        self._gate.is_first_asker = self._neighbours.is_first_asker(at)
+        is_reader = may_read and self._peer_table.is_reader(contact, at)
+        self._gate.is_first_asker = self._peer_table.is_first_asker(at)
         if self._gate.set_reader(is_reader):
             log.info("reader", extra={"is_reader": is_reader, "contact": contact.name})
             for feed in self._feeds.values():
@@ -95,7 +95,7 @@
             return
         returned = self.returned(now())
         records = Records(topic, start, page.next_offset, returned, packed)
-        self._send(encode(records), *self._neighbours.addresses())
+        self._send(encode(records), *self._peer_table.addresses())
 
     # What the others make of it.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -66,17 +66,17 @@
     Args:
       settings: The `HostSettings`.
       shared: The `SharedState` that this host's knowledge is kept in.
-      neighbours: The `PeerTable`.
+      peer_table: The `PeerTable`.
       readers: The `Readers`.
       others: The `OtherCentres`.
       collected: The `Collected`, which keeps what a hub tells on.
       ways: The `Ways`.
     """
 
-    def __init__(self, settings, shared, neighbours, readers, others, collected, ways):
+    def __init__(self, settings, shared, peer_table, readers, others, collected, ways):
         self._settings = settings
         self._shared = shared
-        self._neighbours = neighbours
+        self._peer_table = peer_table
         self._readers = readers
         self._others = others
         self._collected = collected
@@ -84,7 +84,7 @@
 
     def _picked_itself(self):
         """Whether this host is the hub as far as it knows."""
-        return self._neighbours.hub is None
+        return self._peer_table.hub is None
 
     def take(self, message, data, address, at):
         """
@@ -135,7 +135,7 @@
         # on what its clients said seconds ago.
         if not self._shared.take(news_of(work), at):
             return False
-        self._neighbours.hear(work.address, at)
+        self._peer_table.hear(work.address, at)
         self._take_runs(work.runs, True, at)
         self._take_limits(work.limits, work.host, True, at)
         self._shared.quotas.merge_local(work.host, work.life, work.quotas, at)
@@ -147,19 +147,19 @@
         """Take what a hub passes on of this host's own."""
         sent_at = self._ways.echo_of(work)
         if sent_at is not None:
-            self._neighbours.take_echo(sent_at, at)
+            self._peer_table.take_echo(sent_at, at)
             self._shared.limits.membership.note_reached(sent_at)
 
     def _take_beat(self, beat, address, at):
-        self._neighbours.describe(address, beat.link, beat.contact)
+        self._peer_table.describe(address, beat.link, beat.contact)
         self._learn(beat.members, at)
         self._others.strangers.learn(beat.strangers, at)
         self._readers.take_beat(beat, at)
 
     def _take_bundle(self, bundle, address, at):
         """Take what a hub tells, and pass it on to hosts that tell this one."""
-        self._neighbours.hear(address, at)
-        self._neighbours.hear_hub(address, at)
+        self._peer_table.hear(address, at)
+        self._peer_table.hear_hub(address, at)
         self._shared.quotas.note_hub(at)
         works = [
             raw
@@ -225,7 +225,7 @@
                 # and four other data centres tell far more of it: it can wait.
                 self._ways.send_soon(is_urgent=False)
         elif is_for_hub:
-            self._ways.send(encode(far), self._neighbours.hub)
+            self._ways.send(encode(far), self._peer_table.hub)
 
     def _take_load(self, load, address, at):
         """Take the work in flight elsewhere as the hub, or pass it on to the hub."""
@@ -239,18 +239,18 @@
                 self._ways.send_soon(is_urgent=False)
         elif not load.is_passed_on:
             load.is_passed_on = True
-            self._ways.send(encode(load), self._neighbours.hub)
+            self._ways.send(encode(load), self._peer_table.hub)
 
     def _take_hello(self, hello, address, at):
         """Answer a host that looks for others of its data centre."""
         strangers = self._others.strangers.some(at)
         if hello.centre == self._settings.centre:
-            known = self._neighbours.addresses()
-            self._neighbours.name(address, at)
+            known = self._peer_table.addresses()
+            self._peer_table.name(address, at)
         else:
             known = self._others.strangers.of(hello.centre, at)
             self._others.strangers.remember(hello.centre, address, at)
-            own = [*self._neighbours.addresses(), self._settings.peers]
+            own = [*self._peer_table.addresses(), self._settings.peers]
             strangers[self._settings.centre] = own[-STRANGERS_NAMED:]
         known = [a for a in known if a != address]
         self._ways.send(encode(Members(known[:NAMED_MOST], strangers)), address)
@@ -259,7 +259,7 @@
         """Take hosts that were named; they stay only if they are heard."""
         for address in addresses:
             if is_address(address):
-                self._neighbours.name(address, at)
+                self._peer_table.name(address, at)
 
 
 def _decode_each(raws, decode_one, address):
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_rate_limit_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_rate_limit_test.py
@@ -153,9 +153,9 @@
         late = await trial.add_host(2, peers_port=port)
         limits = late.knowledge.shared.limits.advertised
         await until(lambda: late.knowledge.is_complete and len(limits) == 2, 4.0)
-        neighbours = [host.peers._neighbours for host in trial.hosts]
+        peer_table = [host.peers._peer_table for host in trial.hosts]
         hubs = {None, late.settings.peers}
-        await until(lambda: {known.hub for known in neighbours} == hubs)
+        await until(lambda: {known.hub for known in peer_table} == hubs)
 
 
 @pytest.mark.parametrize(
