--- a/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
@@ -38,7 +38,7 @@
 TRIALS_KEPT = 1.0
 
 
-class Results:
+class RecentResults:
     """How many of a service's last requests were not served."""
 
     def __init__(self):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/floor_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/floor_test.py
@@ -6,7 +6,7 @@
     TRIALS_PER_REQUEST,
     TROUBLED_OVER,
     UNUSED_AFTER,
-    Results,
+    RecentResults,
     Trials,
     find_trial,
 )
@@ -75,11 +75,11 @@
 
 
 def test_trouble_needs_a_share_and_passes():
-    results = Results()
+    results = RecentResults()
     results.add(7, 7, 0.0)
     assert not results.is_troubled(0.1)
     results.add(13, 0, 0.5)
-    lone = Results()
+    lone = RecentResults()
     lone.add(9, 1, 0.0)
     assert not lone.is_troubled(0.1)
     assert results.is_troubled(0.6)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -32,7 +32,7 @@
     FailureEstimator,
     rare_outcome_likelihood_ratio,
 )
-from .floor import Results
+from .floor import RecentResults
 from .peer_updates import (
     Counts,
     Evidence,
@@ -314,7 +314,7 @@
         if counts.retries:
             share.note_retries(counts.retries, now)
         if counts.ended:
-            results = self._results.setdefault(service, Results())
+            results = self._results.setdefault(service, RecentResults())
             results.add(counts.ended, counts.unserved, now)
 
     def is_troubled(self, service, now):
