--- a/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
@@ -52,7 +52,7 @@
         self._ended += ended
         self._unserved += unserved
 
-    def is_troubled(self, now):
+    def is_degraded(self, now):
         """Return whether a notable share of the last requests was not served."""
         while self._entries and self._entries[0][0] <= now - TROUBLED_OVER:
             _, ended, unserved = self._entries.popleft()
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -328,7 +328,7 @@
         if now - self._started < TROUBLED_AT_START or self._lost_hosts(now):
             return True
         results = self._results.get(service)
-        return results is not None and results.is_troubled(now)
+        return results is not None and results.is_degraded(now)
 
     def _lost_hosts(self, now):
         """Return whether a notable part of the data centre's hosts was lost lately."""
