--- a/packages/plumsaddle-core/plumsaddle_core/ops/queue.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/queue.py
@@ -18,7 +18,7 @@
     ticket: Any
 
 
-class Queue:
+class DeadlineQueue:
     """
     The queue of one service on one host.
 
