--- a/packages/plumsaddle-core/plumsaddle_core/ops/queue.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/queue.py
@@ -27,7 +27,7 @@
     """
 
     def __init__(self, bound):
-        self.bound = bound
+        self.capacity = bound
         self._count = itertools.count()
         self._waiters = []
 
@@ -36,7 +36,7 @@
 
     def push(self, deadline, ticket):
         """Let a request wait, and return whether there was room."""
-        if len(self._waiters) >= self.bound:
+        if len(self._waiters) >= self.capacity:
             return False
         heapq.heappush(self._waiters, Waiter(deadline, next(self._count), ticket))
         return True
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/waiting.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/waiting.py
@@ -69,7 +69,7 @@
         if not self.pool.is_worth_waiting(tried):
             return Failure(refuse(Reason.NO_TARGET))
         ticket = Ticket(kind, tried, loop.create_future())
-        self._queue.bound = self.pool.service.queue
+        self._queue.capacity = self.pool.service.queue
         if not self._queue.push(deadline, ticket):
             return Failure(refuse(Reason.QUEUE_FULL))
         self.wake()
