--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
@@ -9,7 +9,7 @@
 from .choice import Candidate, Demand, choose_target
 from .peer_updates import Counts, HealthSignal, OutcomeRecord, PeerUpdate, tag_of
 from .shared_state import SILENT_AFTER, SharedState
-from .times import USUAL_AT_FIRST
+from .times import DEFAULT_DURATION
 
 
 def _shared():
@@ -107,7 +107,7 @@
     shared = _shared()
     for number in range(10):
         shared.note("t", "look", "short", HealthSignal.SUCCEEDED, 0.003, number)
-    assert shared.times.usual("look", "new") == USUAL_AT_FIRST
+    assert shared.times.usual("look", "new") == DEFAULT_DURATION
 
 
 def test_a_median_that_is_too_short_is_unlearned():
--- a/packages/plumsaddle-core/plumsaddle_core/ops/times.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/times.py
@@ -21,7 +21,7 @@
 # Answers before a median is believed; of fewer, one odd answer decides it.
 FEWEST = 5
 # The median before any answer was seen, in seconds; an ordinary request's work.
-USUAL_AT_FIRST = 0.3
+DEFAULT_DURATION = 0.3
 # What the share of stuck or refused sends starts from: one in ten, as if ten had been
 # seen.
 RARE_AT_FIRST = 1.0
@@ -50,7 +50,7 @@
         if route in medians:
             return self._median(service, route)
         others = [self._median(service, other) for other in medians]
-        return max(USUAL_AT_FIRST, max(others, default=0.0))
+        return max(DEFAULT_DURATION, max(others, default=0.0))
 
     def _median(self, service, route):
         """Return a known route's median, worked out when it is asked for."""
