--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
@@ -94,8 +94,8 @@
         shared.note("t", "look", "short", HealthSignal.SUCCEEDED, 0.001, number)
         if number % 10 == 0:
             shared.note("t", "look", "long", HealthSignal.SUCCEEDED, 0.4, number)
-    assert shared.times.usual("look", "long") == 0.4
-    assert shared.times.usual("look", "new") == 0.4
+    assert shared.times.typical_duration("look", "long") == 0.4
+    assert shared.times.typical_duration("look", "new") == 0.4
 
 
 def test_a_new_route_is_taken_for_ordinary_work():
@@ -107,7 +107,7 @@
     shared = _shared()
     for number in range(10):
         shared.note("t", "look", "short", HealthSignal.SUCCEEDED, 0.003, number)
-    assert shared.times.usual("look", "new") == DEFAULT_DURATION
+    assert shared.times.typical_duration("look", "new") == DEFAULT_DURATION
 
 
 def test_a_median_that_is_too_short_is_unlearned():
@@ -123,7 +123,7 @@
     for number in range(20):
         shared.note("t", "look", "r", HealthSignal.STUCK, 0.0, 10 + number)
         shared.note("t", "look", "r", HealthSignal.LATE, 0.4, 10 + number)
-    assert shared.times.usual("look", "r") == 0.4
+    assert shared.times.typical_duration("look", "r") == 0.4
 
 
 def test_a_target_that_refuses_with_room_is_doubted_unless_all_do():
--- a/packages/plumsaddle-core/plumsaddle_core/ops/times.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/times.py
@@ -38,7 +38,7 @@
         self._stuck = {}
         self._shed = {}
 
-    def usual(self, service, route):
+    def typical_duration(self, service, route):
         """
         Return the median seconds of work behind a route's recent whole answers.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -358,7 +358,7 @@
         """Return the `Demand` of a request by now."""
         return Demand(
             route.kind,
-            self.shared.times.usual(service, route.name),
+            self.shared.times.typical_duration(service, route.name),
             started + route.objective - at,
             deadline - at,
             kilobytes,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -176,7 +176,7 @@
 
     def _usual(self):
         """Return the usual seconds of such a request."""
-        return self._knowledge.shared.times.usual(
+        return self._knowledge.shared.times.typical_duration(
             self._ask.service, self._ask.route.name
         )
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -277,7 +277,7 @@
         )
         for target_id in candidate_ids
     ]
-    usual = shared.times.usual(SERVICE, ROUTE)
+    usual = shared.times.typical_duration(SERVICE, ROUTE)
     work = model.shape.work
     demand = Demand(RequestKind.ORDER, usual, OBJECTIVE * work, TIME_LIMIT * work, 1.0)
     choice = choose_target(candidates, demand, model.rng)
