--- a/packages/plumsaddle-core/plumsaddle_core/ops/times.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/times.py
@@ -86,7 +86,7 @@
         """Take a refusal, and return the share of sends that was refused before it."""
         return _note_rare(self._shed, service, True)
 
-    def keep(self, routes):
+    def retain_routes(self, routes):
         """Forget the routes whose names are not among those given."""
         self._times = {k: v for k, v in self._times.items() if k[1] in routes}
         self._stuck = {k: v for k, v in self._stuck.items() if k[1] in routes}
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -162,7 +162,7 @@
         self.shared.quotas.configure(cfg.workspaces, now())
         self._ranks = rank_services(cfg.routes, cfg.workspaces)
         names = {route.name for route in cfg.routes}
-        self.shared.times.keep(names)
+        self.shared.times.retain_routes(names)
         kept = {
             name: size for name, size in self._answer_bytes.items() if name in names
         }
