--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -457,7 +457,7 @@
     def _ratio_of(self, outcome):
         """Return how much an outcome speaks for a failing target, as a ratio."""
         if outcome.sign is HealthSignal.SUCCEEDED:
-            self.times.note_whole(outcome.service, outcome.route, outcome.seconds)
+            self.times.note_success(outcome.service, outcome.route, outcome.seconds)
             return SUCCESS_LIKELIHOOD_RATIO
         if outcome.sign is HealthSignal.SHED:
             return rare_outcome_likelihood_ratio(self.times.note_shed(outcome.service))
--- a/packages/plumsaddle-core/plumsaddle_core/ops/times.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/times.py
@@ -59,7 +59,7 @@
             medians[route] = statistics.median(self._times[service, route])
         return medians[route]
 
-    def note_whole(self, service, route, seconds):
+    def note_success(self, service, route, seconds):
         """Take the seconds of work behind a whole answer."""
         _note_rare(self._stuck, (service, route), False)
         _note_rare(self._shed, service, False)
