--- a/packages/plumsaddle-core/plumsaddle_core/ops/deadline_queue.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/deadline_queue.py
@@ -18,7 +18,7 @@
     ticket: Any
 
 
-class DeadlineQueue:
+class Queue:
     """
     The queue of one service on one host.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/waiting.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/waiting.py
@@ -12,7 +12,7 @@
 
 from plumsaddle_core.core.data import HealthState, RequestKind
 from plumsaddle_core.core.reasons import Reason, refuse
-from plumsaddle_core.ops.deadline_queue import DeadlineQueue
+from plumsaddle_core.ops.deadline_queue import Queue
 from plumsaddle_core.ops.pool import SHED_PAUSE
 
 
@@ -41,7 +41,7 @@
         self._asking = 0
         self._grants = {}
         self._rng = rng
-        self._queue = DeadlineQueue(pool.service.queue)
+        self._queue = Queue(pool.service.queue)
         self._timer = None
 
     async def acquire(self, kind, deadline, tried=()):
