--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -65,7 +65,7 @@
         ),
         2.0,
     )
-    shared.take_far(
+    shared.apply_remote_update(
         RemoteUpdate("far", 7, (Evidence(0, former.incarnation, 35.0),), ()), 2.0
     )
     assert shared.fails(present.incarnation, 2.0) == before
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -270,7 +270,7 @@
             if count > former.get(tag, 0):
                 self._use(tag, now)
 
-    def take_far(self, news, now):
+    def apply_remote_update(self, news, now):
         """
         Take the `RemoteUpdate` of a host in another data centre.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -190,7 +190,11 @@
         """Take news of another data centre, and return whether it was any."""
         has_runs = self._take_runs(far.runs, False, at)
         has_limits = self._take_limits(far.limits, far.host, False, at)
-        return self._shared.take_far(far_news_of(far), at) or has_runs or has_limits
+        return (
+            self._shared.apply_remote_update(far_news_of(far), at)
+            or has_runs
+            or has_limits
+        )
 
     def _take_runs(self, rows, is_near, at):
         """Take what became of targets under requests; return whether it was news."""
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -225,7 +225,9 @@
         evidence = self.shared_states[centre].evidence.take()
         for other, shared in enumerate(self.shared_states):
             if other != centre and (evidence or used):
-                shared.take_far(RemoteUpdate(str(centre), 1, evidence, used), at)
+                shared.apply_remote_update(
+                    RemoteUpdate(str(centre), 1, evidence, used), at
+                )
 
     def _tell_load(self, at, centre):
         """Tell the other data centres what is in flight."""
