--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -372,7 +372,7 @@
         here = self._own.get(target_id, 0) + self._others[tag]
         return here + self._elsewhere.in_flight(tag)
 
-    def take_far_load(self, load, now):
+    def apply_remote_load(self, load, now):
         """Apply another data centre's `RemoteLoad` unless it is older."""
         self._elsewhere.take(load, now)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -236,7 +236,7 @@
         if not load.is_passed_on:
             self._others.note_hub(load.centre, address, at)
         if self._picked_itself():
-            self._shared.take_far_load(far_load_of(load), at)
+            self._shared.apply_remote_load(far_load_of(load), at)
             self._take_asked(load.centre, load.hosts, load.quotas, at)
             self._collected.add_asked(load.centre, load.hosts, load.quotas)
             if load.quotas and self._collected.clients(at):
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -240,7 +240,7 @@
     def _take_load(self, at, centre, load):
         for other, shared in enumerate(self.shared_states):
             if other != centre:
-                shared.take_far_load(load, at)
+                shared.apply_remote_load(load, at)
 
     def _look(self, at):
         """Count the moments at which too few of the sound targets are in use."""
