--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -380,7 +380,7 @@
         """Return the `RemoteLoadTotal` of all reachable data centres."""
         return self._elsewhere.sums(now)
 
-    def take_far_sums(self, sums, now):
+    def apply_remote_load_total(self, sums, now):
         """Take the `RemoteLoadTotal` that a host of this data centre has made."""
         self._elsewhere.take_sums(sums, now)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -173,7 +173,7 @@
         ]
         sums = far_sums_of(bundle)
         if sums is not None and not self._picked_itself():
-            self._shared.take_far_sums(sums, at)
+            self._shared.apply_remote_load_total(sums, at)
         if not self._picked_itself():
             for asked in bundle.asked:
                 self._take_asked(asked.centre, asked.hosts, asked.rows, at)
