--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -376,7 +376,7 @@
         """Apply another data centre's `RemoteLoad` unless it is older."""
         self._elsewhere.take(load, now)
 
-    def far_sums(self, now):
+    def remote_load_total(self, now):
         """Return the `RemoteLoadTotal` of all reachable data centres."""
         return self._elsewhere.sums(now)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -331,7 +331,7 @@
         sums = None
         if self._is_sums_due(at):
             self._summed_at = at
-            sums = self._shared.far_sums(at)
+            sums = self._shared.remote_load_total(at)
         for_all, for_clients = self._collected.take(sums)
         everyone = self._peer_table.addresses()
         clients = self._collected.clients(at)
