--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -384,7 +384,7 @@
         """Take the `RemoteLoadTotal` that a host of this data centre has made."""
         self._elsewhere.take_sums(sums, now)
 
-    def knows_load(self, centre, now):
+    def knows_remote_load(self, centre, now):
         """Return whether the work in flight from another data centre is known."""
         return self._elsewhere.is_known(centre, now)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -362,8 +362,8 @@
     for _, shared, _ in hosts:
         assert shared.in_flight("t") == 2
     for _, shared, _ in hosts[3:]:
-        assert shared.knows_load("x", net.at)
-        assert not shared.knows_load("x", net.at + LOAD_FOR)
+        assert shared.knows_remote_load("x", net.at)
+        assert not shared.knows_remote_load("x", net.at + LOAD_FOR)
 
 
 def test_the_next_host_tells_the_sums_when_the_hub_is_lost(net):
@@ -379,7 +379,7 @@
     net.cut.add(hub)
     net.play(LOAD_FOR + HUB_SILENT_FOR)
     assert all(shared.in_flight("t") == 1 for _, shared, _ in hosts[3:])
-    assert all(shared.knows_load("x", net.at) for _, shared, _ in hosts[3:])
+    assert all(shared.knows_remote_load("x", net.at) for _, shared, _ in hosts[3:])
 
 
 def test_one_host_tells_the_sums_while_all_are_well(net):
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -275,7 +275,7 @@
             is_cold=False,
             is_near=_is_in(model, target_id, centre),
             is_counted=_is_in(model, target_id, centre)
-            or shared.knows_load(model.workers[target_id].target.centre, at),
+            or shared.knows_remote_load(model.workers[target_id].target.centre, at),
         )
         for target_id in candidate_ids
     ]
