--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -198,7 +198,7 @@
           now: The present, in seconds.
           urgent_part: The part of the share that the request may use up.
         """
-        part = self.hosts_heard() / self._most_heard
+        part = self.live_host_count() / self._most_heard
         if now - self._started < self._window:
             part = 0.0
         return self._share(service).may_retry(extra * part, now, urgent_part)
@@ -247,7 +247,7 @@
         peer.heard_at = now
         self.limits.membership.note_host(news.host, now)
         self._take_in_flight(peer, news.in_flight, now)
-        self._most_heard = max(self._most_heard, self.hosts_heard())
+        self._most_heard = max(self._most_heard, self.live_host_count())
         if news.counts:
             self._take_counts(news.host, peer, news.counts, now)
         fresh = peer.inbox.fresh(news.outcomes) if news.outcomes else ()
@@ -360,7 +360,7 @@
         self._far = {h: entry for h, entry in heard if now - entry[1] < FAR_FOR}
         return silent
 
-    def hosts_heard(self):
+    def live_host_count(self):
         """Return how many hosts work in the data centre, this one included."""
         return len(self._peers) + 1
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -309,7 +309,7 @@
             listed = self.registry.usable(service)
             ranked = rank_targets(listed, settings.id, settings.centre)
             self._ranked[service] = (self.registry.revision, ranked)
-        hosts = self.shared.hosts_heard()
+        hosts = self.shared.live_host_count()
         subset = ranked.first(subset_size(len(ranked.near), hosts, rate))
         if not self.limits.are_any:
             return subset
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
@@ -48,7 +48,7 @@
     seconds, and targets close idle connections after ten.
     """
     knowledge = _knowledge(200)
-    knowledge.shared.hosts_heard = lambda: 45
+    knowledge.shared.live_host_count = lambda: 45
     knowledge._rates["act"] = _SteadyRate()
     assert len({_choose(knowledge)[0] for _ in range(300)}) <= 48
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_clock_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_clock_test.py
@@ -37,7 +37,7 @@
                     "/act/a", f"act-{number}-{host}", "POST", host=host
                 )
                 assert status == 200
-            heard = [host.knowledge.shared.hosts_heard() for host in trial.hosts]
+            heard = [host.knowledge.shared.live_host_count() for host in trial.hosts]
             assert heard == [2, 2]
         leaver = trial.of("act")[0]
         trial.store.put(TARGETS, leaver.id, leaver.entry("draining"))
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_faults_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_faults_test.py
@@ -208,10 +208,12 @@
         )
         assert (await trial.ask("/act/a", "id-1", "POST"))[0] == 200
         await asyncio.sleep(1.2)
-        assert alone.knowledge.shared.hosts_heard() == 1
+        assert alone.knowledge.shared.live_host_count() == 1
         await trial.add_host(1, peers_port=later, seeds=())
         both = trial.hosts
-        await until(lambda: all(h.knowledge.shared.hosts_heard() == 2 for h in both))
+        await until(
+            lambda: all(h.knowledge.shared.live_host_count() == 2 for h in both)
+        )
 
 
 @pytest.mark.parametrize(
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_quota_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_quota_test.py
@@ -23,7 +23,7 @@
     # Hosts hear of each other within two beats.
     near = len(trial.hosts) // len(trial.centres)
     await until(
-        lambda: all(h.knowledge.shared.hosts_heard() == near for h in trial.hosts)
+        lambda: all(h.knowledge.shared.live_host_count() == near for h in trial.hosts)
     )
 
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
@@ -439,8 +439,8 @@
     the target anything.
     """
     async with Trial(services=("act",), targets=2, hosts=2) as trial:
-        await until(lambda: trial.hosts[0].knowledge.shared.hosts_heard() == 2)
-        await until(lambda: trial.hosts[1].knowledge.shared.hosts_heard() == 2)
+        await until(lambda: trial.hosts[0].knowledge.shared.live_host_count() == 2)
+        await until(lambda: trial.hosts[1].knowledge.shared.live_host_count() == 2)
         trial.workers["act-0"].mode = Mode.ERRORS
         for number in range(6):
             await trial.ask("/act/a", f"id-{number}", "POST", host=0)
