--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -213,7 +213,7 @@
         """Return this host's work in flight, by tag of target."""
         return {tag_of(target_id): count for target_id, count in self._own.items()}
 
-    def near_used(self, since):
+    def tags_used_since(self, since):
         """Return the tags of targets that hosts of the data centre used lately."""
         return [tag for tag, at in self._near_used_at.items() if at >= since]
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -177,7 +177,7 @@
         self._pick_hub(at)
         self._send_work(at, self._make_beat(at))
         if self._picked_itself() and self._may_act_alone(at):
-            self._others.tell_news(self._shared.near_used(at - FAR_EVERY), at)
+            self._others.tell_news(self._shared.tags_used_since(at - FAR_EVERY), at)
         else:
             # The hub tells it for all.
             self._shared.evidence.take()
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -218,7 +218,7 @@
     def _beat(self, at, centre):
         """Tell the other data centres which targets had work in the last second."""
         self._push(at + 1.0, self._beat, centre)
-        used = tuple(self.shared_states[centre].near_used(at - 1.0))
+        used = tuple(self.shared_states[centre].tags_used_since(at - 1.0))
         self._push(at + FAR_SECONDS, self._tell_far, centre, used)
 
     def _tell_far(self, at, centre, used):
