--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
@@ -116,7 +116,7 @@
         case.endings.note_broken(case.target, "a")
         await asyncio.sleep(0.01)
 
-    assert _run(Unconnected.REFUSED, act).crash_count("a") == 0
+    assert _run(Unconnected.REFUSED, act).ended("a") == 0
 
 
 def test_a_request_that_was_given_up_is_blamed_when_its_target_ends_soon_after():
@@ -131,7 +131,7 @@
         assert case.endings.open_questions("slow") == 1
         case.endings.note_refused(case.target)
 
-    assert _run(Unconnected.REFUSED, act).crash_count("slow") == 1
+    assert _run(Unconnected.REFUSED, act).ended("slow") == 1
 
 
 def test_another_hosts_word_settles_a_look_that_met_silence():
@@ -143,7 +143,7 @@
         case.knowledge.shared.suspects.add(note, 0.0)
         case.endings.tick(0.0)
 
-    assert _run(Unconnected.SILENT, act).crash_count("a") == 1
+    assert _run(Unconnected.SILENT, act).ended("a") == 1
 
 
 def test_a_restart_under_the_same_id_ends_what_ran_in_the_former_life():
