--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -1,20 +1,20 @@
 """
-Requests under which targets have ended, and which of them are held back.
-
-Some requests end each target that runs them: a query that a parser cannot take, say. A
-caller that gets no answer asks again under another id, at any host, and retries carry
-the request on to further targets. What is believed of targets does not help against
-that, since each target was sound until the request came. So hosts remember, by the
-request's key, the lives of targets that have ended while they ran it, tell each other,
-and hold a request back once three have ended under it.
-
-Whatever else a target ran when it ended looks the same from outside. Three things keep
-such a request free: it takes three lives of targets, each answer from another one makes
-up for one of them, and lives that ended under a request which has ended still more
-explain those of the others.
-
-All of it is a set of notes that only grows, so hosts may learn them from anybody and
-more than once, and come to the same verdict.
+Requests that crash targets, and which of them are held back.
+
+A request that crashes every target that runs it (a query of death) does not stay with
+one target: its caller retries under a new request id at any host, and hosts retry it on
+other targets. The health of a target does not help, since each one is healthy until it
+gets the request. Hosts therefore record by request key which incarnations of targets
+crashed while they ran the request, gossip these records, and hold a request back once
+`CRASH_THRESHOLD` incarnations have crashed under it.
+
+Other requests that ran on a target when it crashed cannot be told from the cause. They
+are kept free by three rules: it takes several crashes, each incarnation that answered
+the request offsets one crash, and crashes explained by a request with more crashes
+hardly count.
+
+The records form a set that only grows, so hosts may merge them in any order and more
+than once, and reach the same decision.
 """
 
 import itertools
@@ -24,85 +24,85 @@
 
 from ..core.ids import RequestKey, TargetIncarnation
 
-# Lives that end under a request, less those that answered it, until it is held back.
-# Two may be chance, where many targets crash for other reasons.
+# Crashed incarnations less those that answered from which a request is held back. Two
+# may be coincidence where many targets crash for other reasons.
 CRASH_THRESHOLD = 3
-# Of these, lives whose end no other request explains. With one, a page that many ask
-# for is held back after two bad requests and a crash have each cut it short; a second
-# bad request beside a first one is found two ends later than it would be alone.
-UNEXPLAINED_LEAST = 2
-# Lives from which on the platform's store is told.
-STORED_FROM = 2
-# A request is sent once more after a failed send while no more lives than that have
-# ended under it: one may be chance, and a third would make the verdict.
+# Least crashes that no held request with more crashes explains. With one, a popular
+# request would be held back after two harmful requests and an unrelated crash hit it.
+MIN_UNEXPLAINED = 2
+# Crashes from which a request is written to the platform's store.
+MIN_CRASHES_TO_STORE = 2
+# Most crashes with which a request is still retried after a failed send. One may be
+# coincidence; with two, the retry could be the one that reaches the threshold.
 MAX_CRASHES_TO_RETRY = 1
-# Seconds for which a request is held back after the last end, doubled with each life
-# more than it takes: targets may have got a release that can take it. At most this.
+# Seconds for which a request is held back after its last crash. Doubled with each crash
+# beyond the threshold, up to the maximum: a new release of the targets may handle it.
 MIN_HOLD = 600.0
-HELD_MOST = 4 * 3600.0
-# Seconds for which a life that has ended is remembered, unless the request is held
-# back for longer than half of that.
-REMEMBERED_FOR = 600.0
-# Seconds for which a life is known to have ended: what it left unanswered is blamed on
-# its end within that time. A target may come back under its id.
-ENDED_FOR = 5.0
-# Requests that are remembered, some 300 bytes each. Those with the fewest lives go
-# first, so a flood of requests that met one crash does not push out the worst.
-KEYS_MOST = 512
-# Lives remembered of one request; more would not change the verdict.
-LIVES_MOST = 16
-# Seconds for which a new note goes with each message: a host sends several in that
-# time, so that one of them arrives over a link that loses many.
-TOLD_FOR = 2.5
-# Notes in one message; the newest, of some 45 bytes each.
-TOLD_MOST = 24
+MAX_HOLD = 4 * 3600.0
+# Seconds after its last crash at which a request below the threshold is evicted.
+RETENTION = 600.0
+# Seconds within which an unanswered send is attributed to the crash of its target. The
+# target may restart under the same id.
+CRASH_ATTRIBUTION_WINDOW = 5.0
+# Requests kept, some 300 bytes each. Those with the fewest crashes are evicted first,
+# so that many requests hit by one crash do not displace those with several.
+MAX_REQUESTS = 512
+# Crashed, and answering, incarnations kept per request; more do not change the result.
+MAX_INCARNATIONS = 16
+# Seconds for which a new record is gossiped. A host sends several messages in them,
+# so that one arrives over a link with high packet loss.
+GOSSIP_WINDOW = 2.5
+# Most records in a message, some 45 bytes each; the newest are sent.
+MAX_RECORDS = 24
 
 
 class RunRecord(NamedTuple):
-    """What became of one life of a target that ran a request: it ended, or answered."""
+    """An incarnation of a target that ran a request, and either crashed or answered."""
 
     key: RequestKey
-    life: TargetIncarnation
-    has_ended: bool
+    incarnation: TargetIncarnation
+    has_crashed: bool
 
 
-class _Suspect:
-    """What is known of one request."""
+class _SuspectRequest:
+    """What is known of one request; `is_own` if this host observed any of it."""
 
-    __slots__ = ("answered", "ended", "is_own", "last_at", "stored")
+    __slots__ = ("answered", "crashed", "is_own", "last_crash_at", "stored")
 
     def __init__(self):
-        self.ended = set()
+        self.crashed = set()
         self.answered = set()
-        self.last_at = -math.inf
-        # Whether this host saw any of it, and what the platform's store says of it.
+        self.last_crash_at = -math.inf
         self.is_own = False
+        # The incarnations that the platform's store has recorded.
         self.stored = frozenset()
 
     @property
     def hold_duration(self):
-        """For how long the request is held back after the last end, in seconds."""
-        beyond = max(0, len(self.ended) - CRASH_THRESHOLD)
-        return min(HELD_MOST, MIN_HOLD * 2**beyond)
+        """For how many seconds the request is held back after its last crash."""
+        beyond = max(0, len(self.crashed) - CRASH_THRESHOLD)
+        return min(MAX_HOLD, MIN_HOLD * 2**beyond)
 
     @property
-    def forgotten_at(self):
-        """When it is forgotten, in seconds."""
-        is_light = len(self.ended) < CRASH_THRESHOLD
-        return self.last_at + (REMEMBERED_FOR if is_light else 2 * self.hold_duration)
+    def expires_at(self):
+        is_below = len(self.crashed) < CRASH_THRESHOLD
+        return self.last_crash_at + (RETENTION if is_below else 2 * self.hold_duration)
 
 
 class SuspectRequests:
-    """All requests under which a target has ended lately, as one host knows them."""
+    """
+    The requests under which targets have crashed recently, as one host knows them.
+
+    `near_record_count` counts the records that hosts of the data centre have made.
+    """
 
     def __init__(self):
         self._suspects = {}
         self._recent = deque()
-        # How many notes hosts of the data centre have made, as far as is known.
         self.near_record_count = 0
-        self._ended_lives = {}
-        self._held = {}
-        self._is_judged = True
+        self._recent_crashes = {}
+        self._held_until = {}
+        self._is_up_to_date = True
 
     def __len__(self):
         return len(self._suspects)
@@ -110,173 +110,175 @@
     def __contains__(self, key):
         return key in self._suspects
 
-    # What is learnt.
-
-    def add(self, note, now, is_own=False, is_near=True):
+    def add(self, record, now, is_own=False, is_near=True):
         """
-        Take a `RunNote`.
+        Add a record.
 
         Args:
-          note: The `RunNote`.
-          now: When the life ended or answered, in seconds.
-          is_own: Whether this host saw it.
-          is_near: Whether a host of this data centre saw it.
+          record: The `RunRecord`.
+          now: When the incarnation crashed or answered, in seconds.
+          is_own: Whether this host observed it.
+          is_near: Whether a host of this data centre observed it.
         Returns:
-          Whether it was new.
+          Whether it was new and was kept.
         """
-        suspect = self._suspects.get(note.key)
+        suspect = self._suspects.get(record.key)
         if suspect is None:
-            if not note.has_ended:
+            if not record.has_crashed:
                 return False
-            suspect = self._suspects[note.key] = _Suspect()
-            self._make_room(note.key)
+            suspect = self._suspects[record.key] = _SuspectRequest()
+            self._evict_excess(record.key)
         suspect.is_own = suspect.is_own or is_own
-        lives = suspect.ended if note.has_ended else suspect.answered
-        if note.life in lives:
+        incarnations = suspect.crashed if record.has_crashed else suspect.answered
+        if record.incarnation in incarnations:
             return False
-        if note.has_ended:
-            suspect.last_at = max(suspect.last_at, now)
-            self._ended_lives[note.life] = now
-        if len(lives) >= LIVES_MOST:
-            # Not kept, so it would be news again each time that it comes.
+        if record.has_crashed:
+            suspect.last_crash_at = max(suspect.last_crash_at, now)
+            self._recent_crashes[record.incarnation] = now
+        if len(incarnations) >= MAX_INCARNATIONS:
+            # It is not kept, so each further copy would look new again.
             return False
-        lives.add(note.life)
-        self._is_judged = False
-        self._recent.append((now, note, is_own, is_near))
+        incarnations.add(record.incarnation)
+        self._is_up_to_date = False
+        self._recent.append((now, record, is_own, is_near))
         self.near_record_count += is_near
         return True
 
-    def add_stored(self, key, ended, answered, now):
+    def add_stored(self, key, crashed, answered, now):
         """
-        Take what the platform's store says of a request.
+        Add what the platform's store has recorded of a request.
 
         Args:
           key: The request's key.
-          ended: The lives that have ended under it.
-          answered: The lives that answered it.
+          crashed: The incarnations that crashed under it.
+          answered: The incarnations that answered it.
           now: The present, in seconds.
         """
-        notes = [RunRecord(key, life, True) for life in ended]
-        notes += [RunRecord(key, life, False) for life in answered]
-        # Not told on: each host hears it from the store.
-        for note in notes:
-            self.add(note, now, is_near=False)
+        records = [RunRecord(key, incarnation, True) for incarnation in crashed]
+        records += [RunRecord(key, incarnation, False) for incarnation in answered]
+        # Not gossiped: each host reads the store itself.
+        for record in records:
+            self.add(record, now, is_near=False)
         if key in self._suspects:
-            self._suspects[key].stored = frozenset(ended) | frozenset(answered)
+            self._suspects[key].stored = frozenset(crashed) | frozenset(answered)
 
     def drop(self, key):
-        """Forget a request, which an operator has let go."""
+        """Remove a request that an operator has released."""
         self._suspects.pop(key, None)
         self._recent = deque(row for row in self._recent if row[1].key != key)
-        self._is_judged = False
+        self._is_up_to_date = False
 
     def evict_expired(self, now):
         """
-        Forget what is too old.
+        Remove the requests and crashes that have expired.
 
         Returns:
-          The keys among that of which the platform's store still says something.
+          The keys of the removed requests of which the platform's store has a record.
         """
-        old = {k: s for k, s in self._suspects.items() if s.forgotten_at <= now}
-        for key in old:
+        expired = {k: s for k, s in self._suspects.items() if s.expires_at <= now}
+        for key in expired:
             del self._suspects[key]
-        if old:
-            self._is_judged = False
-        lives = self._ended_lives.items()
-        self._ended_lives = {life: at for life, at in lives if now - at < ENDED_FOR}
-        self._recent_since(now - TOLD_FOR)
-        return [key for key, suspect in old.items() if suspect.stored]
-
-    def _make_room(self, new_key):
-        if len(self._suspects) <= KEYS_MOST:
+        if expired:
+            self._is_up_to_date = False
+        crashes = self._recent_crashes.items()
+        self._recent_crashes = {
+            incarnation: at
+            for incarnation, at in crashes
+            if now - at < CRASH_ATTRIBUTION_WINDOW
+        }
+        self._prune_recent(now - GOSSIP_WINDOW)
+        return [key for key, suspect in expired.items() if suspect.stored]
+
+    def _evict_excess(self, new_key):
+        if len(self._suspects) <= MAX_REQUESTS:
             return
         others = (item for item in self._suspects.items() if item[0] != new_key)
-        least, _ = min(others, key=lambda item: (len(item[1].ended), item[1].last_at))
+        least, _ = min(
+            others, key=lambda item: (len(item[1].crashed), item[1].last_crash_at)
+        )
         del self._suspects[least]
 
-    # What is to be told.
-
-    def _recent_since(self, since):
+    def _prune_recent(self, since):
+        """Remove recent records up to a time, and return the others."""
         while self._recent and self._recent[0][0] <= since:
             self._recent.popleft()
         return self._recent
 
     def own_records(self, now):
-        """Return the `RunNote`s that this host saw lately, for its data centre."""
-        recent = self._recent_since(now - TOLD_FOR)
-        return [note for _, note, is_own, _ in recent if is_own][-TOLD_MOST:]
+        """Return this host's recent `RunRecord`s, to send within its data centre."""
+        recent = self._prune_recent(now - GOSSIP_WINDOW)
+        return [record for _, record, is_own, _ in recent if is_own][-MAX_RECORDS:]
 
     def near_records(self, now):
-        """Return those that any host of the data centre saw lately, for the others."""
-        recent = self._recent_since(now - TOLD_FOR)
-        return [note for _, note, _, is_near in recent if is_near][-TOLD_MOST:]
+        """Return the data centre's recent `RunRecord`s, to send to the others."""
+        recent = self._prune_recent(now - GOSSIP_WINDOW)
+        return [record for _, record, _, is_near in recent if is_near][-MAX_RECORDS:]
 
     def unsaved(self):
         """
-        Return what the platform's store does not say yet and this host should write.
+        Return what this host should write to the platform's store.
 
-        The store reaches hosts that are cut off from this one, and those that start
-        when all others have lost what they knew. One life that ended is mostly chance
-        and not worth a call; from the second on a host writes down what it saw.
+        The store reaches hosts in partitioned data centres, and hosts that start after
+        all others have lost their state. A single crash is mostly coincidence and not
+        worth a write.
 
         Returns:
-          By key the sorted lives that ended, and those that answered.
+          By key the sorted incarnations that crashed, and those that answered.
         """
         return {
-            key: (sorted(suspect.ended), sorted(suspect.answered))
+            key: (sorted(suspect.crashed), sorted(suspect.answered))
             for key, suspect in self._suspects.items()
             if suspect.is_own
-            and len(suspect.ended) >= STORED_FROM
-            and not suspect.ended | suspect.answered <= suspect.stored
+            and len(suspect.crashed) >= MIN_CRASHES_TO_STORE
+            and not suspect.crashed | suspect.answered <= suspect.stored
         }
 
     def last_crash_at(self, key):
-        """Return when the last target ended under a request, in seconds."""
-        return self._suspects[key].last_at
-
-    # What follows from it.
+        """Return when a target last crashed under a request, in seconds."""
+        return self._suspects[key].last_crash_at
 
-    def has_crashed(self, life):
-        """Return whether a life of a target has just ended under any request."""
-        return life in self._ended_lives
+    def has_crashed(self, incarnation):
+        """Return whether an incarnation has recently crashed under any request."""
+        return incarnation in self._recent_crashes
 
     def crashed_incarnations(self, key):
-        """Return the lives of targets that have ended under a request, sorted."""
+        """Return the incarnations that crashed under a request, sorted."""
         suspect = self._suspects.get(key)
-        return sorted(suspect.ended) if suspect is not None else []
+        return sorted(suspect.crashed) if suspect is not None else []
 
     def crash_count(self, key):
-        """Return how many lives of targets have ended under a request."""
+        """Return how many incarnations have crashed under a request."""
         suspect = self._suspects.get(key)
-        return len(suspect.ended) if suspect is not None else 0
+        return len(suspect.crashed) if suspect is not None else 0
 
     def hold_remaining(self, key, now):
         """Return for how many seconds a request is still held back, or 0.0."""
-        return max(0.0, self._verdicts().get(key, -math.inf) - now)
+        return max(0.0, self._hold_ends().get(key, -math.inf) - now)
 
     def held_keys(self, now):
         """Return the keys of all requests that are held back."""
-        return {key for key, until in self._verdicts().items() if until > now}
+        return {key for key, until in self._hold_ends().items() if until > now}
 
-    def _verdicts(self):
-        """Return until when requests are held back, by key."""
-        if not self._is_judged:
-            self._held = self._judge()
-            self._is_judged = True
-        return self._held
+    def _hold_ends(self):
+        """Return by key until when requests are held back; recomputed after changes."""
+        if not self._is_up_to_date:
+            self._held_until = self._compute_hold_ends()
+            self._is_up_to_date = True
+        return self._held_until
 
-    def _judge(self):
+    def _compute_hold_ends(self):
         """
-        Return until when each request is held back.
+        Return by key until when requests are held back.
 
-        A request whose ended lives, but for one, ended under others that have ended
-        more was there by chance. Should one of the others be the victim, it ends no
-        more lives while it is held back, and the true cause soon leads.
+        Requests are taken in descending order of their crashes. One whose crashes are
+        explained by those before it, but for fewer than `MIN_UNEXPLAINED`, is taken to
+        have been there by coincidence. If a harmless request comes first, the cause
+        gains further crashes while the harmless one is held back, and overtakes it.
         """
-        held = {}
+        held_until = {}
         explained = set()
         rows = sorted(
-            ((len(s.ended), key, s) for key, s in self._suspects.items()),
+            ((len(s.crashed), key, s) for key, s in self._suspects.items()),
             key=lambda row: -row[0],
         )
         for count, group in itertools.groupby(rows, key=lambda row: row[0]):
@@ -286,9 +288,9 @@
                 (key, suspect)
                 for _, key, suspect in group
                 if count - len(suspect.answered) >= CRASH_THRESHOLD
-                and len(suspect.ended - explained) >= UNEXPLAINED_LEAST
+                and len(suspect.crashed - explained) >= MIN_UNEXPLAINED
             ]
             for key, suspect in found:
-                held[key] = suspect.last_at + suspect.hold_duration
-                explained |= suspect.ended
-        return held
+                held_until[key] = suspect.last_crash_at + suspect.hold_duration
+                explained |= suspect.crashed
+        return held_until
