--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
@@ -199,7 +199,7 @@
     for _ in range(50):
         rng.shuffle(records)
         suspects = SuspectRequests()
-        for record in sorted(records, key=lambda r: not r.has_crashed):
+        for record in sorted(records, key=lambda n: not n.has_crashed):
             suspects.add(record, 0.0)
         holds.add(tuple(suspects.hold_remaining(f"k{n}", 1.0) for n in (1, 2, 3, 4)))
     assert len(holds) == 1
@@ -210,8 +210,8 @@
     _crash(suspects, "own", "a", is_own=True)
     _crash(suspects, "near", "a")
     _crash(suspects, "far", "a", is_near=False)
-    assert [r.key for r in suspects.own_records(1.0)] == ["own"]
-    assert [r.key for r in suspects.near_records(1.0)] == ["own", "near"]
+    assert [n.key for n in suspects.own_records(1.0)] == ["own"]
+    assert [n.key for n in suspects.near_records(1.0)] == ["own", "near"]
     assert suspects.own_records(GOSSIP_WINDOW) == []
     for number in range(2 * MAX_RECORDS):
         _crash(suspects, "own", f"incarnation-{number}", at=5.0, is_own=True)
