--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -60,7 +60,7 @@
     centre: DataCentre
     slots: int
     state: TargetState
-    cold_for: float
+    warmup: float
     read_at: float
     started_at: int = 0
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -346,7 +346,7 @@
             target,
             self.shared.fails(target.incarnation, at),
             self.shared.in_flight(target.incarnation),
-            at < target.read_at + target.cold_for,
+            at < target.read_at + target.warmup,
             is_near,
             Feature.OPEN_CONNECTIONS not in self.settings.disabled_features
             and has_link(target.incarnation),
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/wire_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/wire_test.py
@@ -34,7 +34,7 @@
 
 def test_a_good_entry_names_a_target():
     target = _decode(state="draining", more={"a": 1}).unwrap()
-    assert (target.started_at, target.cold_for) == (GOOD["born"], 0.5)
+    assert (target.started_at, target.warmup) == (GOOD["born"], 0.5)
     assert target.state is TargetState.DRAINING
     assert _decode(born=...).unwrap().started_at == 0
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -260,7 +260,7 @@
         centre=str(centre),
         slots=slots,
         state=TargetState.READY,
-        cold_for=0.0,
+        warmup=0.0,
         read_at=0.0,
     )
 
