--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -109,7 +109,7 @@
     prefix: str
     kind: RequestKind
     shares: tuple[Share, ...]
-    tries_most: int
+    max_attempts: int
     timeout: float
     objective: float
     rank: int
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -115,7 +115,7 @@
         self._knowledge = knowledge
         self._sender = sender
         self._metrics = metrics
-        self._attempt = Attempt(ask.route.kind, ask.route.tries_most)
+        self._attempt = Attempt(ask.route.kind, ask.route.max_attempts)
         self._suspicion = Suspicion(ask, self._attempt, knowledge, endings)
         self._excluded = set()
         self._sends = set()
