--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -32,7 +32,7 @@
     UPLOAD = "upload"
 
     @property
-    def may_repeat(self):
+    def is_idempotent(self):
         """Whether a request of this kind may run more than once."""
         return self is RequestKind.IDEMPOTENT
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/attempt.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/attempt.py
@@ -57,7 +57,7 @@
         """
         if self.stage is Stage.ANSWERED or self.sends >= self.tries_most:
             return False
-        return self.kind.may_repeat or not (self.may_have_run or self._outstanding)
+        return self.kind.is_idempotent or not (self.may_have_run or self._outstanding)
 
     def may_promise(self):
         """Return whether it is true that the request has not run and never will."""
--- a/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
@@ -139,7 +139,7 @@
 def send_value(candidate, demand, expected):
     """Return the expected value of a send, 1 being a sure answer in time."""
     fails = candidate.fails
-    cost = fails * (1.0 - REPEAT_RELIEF) if demand.kind.may_repeat else fails
+    cost = fails * (1.0 - REPEAT_RELIEF) if demand.kind.is_idempotent else fails
     value = (1.0 - cost) * _time_value(expected, demand)
     value -= SPREAD * _fullness(candidate)
     if candidate.fails >= TRIAL_FROM:
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
@@ -243,7 +243,7 @@
         that is right, since nobody waits for the work. An order that is under way is
         left to end, and what became of it is logged.
         """
-        if ask.route.kind.may_repeat:
+        if ask.route.kind.is_idempotent:
             return await self._relay.run(ask)
         task = asyncio.get_running_loop().create_task(self._relay.run(ask))
         self._orders.add(task)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -196,7 +196,7 @@
         return (
             not self._is_hedged
             and Feature.SECOND_SENDS not in self._knowledge.settings.disabled_features
-            and self._ask.route.kind.may_repeat
+            and self._ask.route.kind.is_idempotent
             and self._attempt.may_send()
             and self._suspicion.may_hedge()
         )
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
@@ -134,7 +134,7 @@
 
 def _idle_most(ask):
     """Return the most seconds for which a connection may have been idle."""
-    return IDLE_MOST if ask.route.kind.may_repeat else ORDER_IDLE_MOST
+    return IDLE_MOST if ask.route.kind.is_idempotent else ORDER_IDLE_MOST
 
 
 async def _send_body(link, ask):
