--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -111,7 +111,7 @@
     shares: tuple[Share, ...]
     max_attempts: int
     timeout: float
-    objective: float
+    latency_objective: float
     rank: int
     is_public: bool = False
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -359,7 +359,7 @@
         return Demand(
             route.kind,
             self.shared.times.typical_duration(service, route.name),
-            started + route.objective - at,
+            started + route.latency_objective - at,
             deadline - at,
             kilobytes,
         )
