--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -112,7 +112,7 @@
     max_attempts: int
     timeout: float
     latency_objective: float
-    rank: int
+    priority: int
     is_public: bool = False
 
 
@@ -129,7 +129,7 @@
     keys: tuple[KeyDigest, ...]
     rate: float = 0.0
     burst: float = 0.0
-    rank: int = 0
+    priority: int = 0
 
 
 class Limits(NamedTuple):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency.py
@@ -26,8 +26,8 @@
 
 def rank_of(route, workspace):
     """Return the `Rank` of a request; nobody's has its route's rank for both."""
-    first = route.rank if workspace is None else workspace.rank
-    return Rank(first, route.rank)
+    first = route.priority if workspace is None else workspace.priority
+    return Rank(first, route.priority)
 
 
 def rank_services(routes, workspaces):
@@ -44,10 +44,10 @@
     """
     if not workspaces:
         return {}
-    firsts = {workspace.rank for workspace in workspaces}
+    firsts = {workspace.priority for workspace in workspaces}
     ranks = {}
     for route in routes:
-        own = {Rank(first, route.rank) for first in firsts}
+        own = {Rank(first, route.priority) for first in firsts}
         if route.is_public:
             own.add(rank_of(route, None))
         for share in route.shares:
--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
@@ -21,7 +21,7 @@
     return Route(name, "h", f"/{name}/", kind, shares, 2, 1.0, 1.0, rank, is_public)
 
 
-FIRST, LAST = Workspace("a", (), rank=0), Workspace("b", (), rank=5)
+FIRST, LAST = Workspace("a", (), priority=0), Workspace("b", (), priority=5)
 HIGH, LOW = _route("high", 1), _route("low", 2)
 
 
