--- a/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
@@ -101,7 +101,7 @@
         """
         budget = self._budgets.setdefault(service, _Budget())
         budget.note_request()
-        if not budget.has_trial() and not shared.is_troubled(service, now):
+        if not budget.has_trial() and not shared.is_degraded(service, now):
             return None
         trial = find_trial(
             *list_targets(),
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -317,7 +317,7 @@
             results = self._results.setdefault(service, RecentResults())
             results.add(counts.ended, counts.unserved, now)
 
-    def is_troubled(self, service, now):
+    def is_degraded(self, service, now):
         """
         Return whether a notable share of a service's requests is likely not served.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
@@ -241,16 +241,16 @@
     shared = _shared()
     for number in range(11):
         shared.take(_news(1, host=f"h{number}"), 1.0)
-    assert not shared.is_troubled("look", 1.1)
+    assert not shared.is_degraded("look", 1.1)
     for number in range(5):
         shared.take(_news(1, host=f"h{number}", life=2), 2.0)
-    assert shared.is_troubled("look", 2.0)
+    assert shared.is_degraded("look", 2.0)
     for number in range(11):
         shared.take(_news(9, host=f"h{number}", life=2), 8.0)
     for number in range(11):
         shared.take(_news(10, host=f"h{number}", life=2), 14.0)
-    assert not shared.is_troubled("look", 14.1)
-    assert shared.is_troubled("look", 17.0)
+    assert not shared.is_degraded("look", 14.1)
+    assert shared.is_degraded("look", 17.0)
 
 
 def test_a_target_that_one_host_cannot_reach_is_sound_for_the_others():
