--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -398,7 +398,7 @@
         path_fails = self.paths.get(target_id, _UNKNOWN_PATH).failure_probability(now)
         return 1.0 - (1.0 - target_fails) * (1.0 - path_fails)
 
-    def is_cut_off(self, target_id, now):
+    def is_path_broken(self, target_id, now):
         """Return whether this host's own path to a target is likely broken."""
         return (
             self.paths.get(target_id, _UNKNOWN_PATH).failing_probability(now)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
@@ -268,9 +268,9 @@
         sign = HealthSignal.UNREACHABLE if is_cut else HealthSignal.SUCCEEDED
         other.take(_news(number, [(number, "t", sign)], host=f"h{number % 5}"), at)
     assert cut.fails("t", 1.2) > 0.7
-    assert cut.is_cut_off("t", 1.2)
+    assert cut.is_path_broken("t", 1.2)
     assert other.fails("t", 1.2) < 0.1
-    assert not other.is_cut_off("t", 1.2)
+    assert not other.is_path_broken("t", 1.2)
 
 
 def test_a_dead_target_is_known_after_three_silences_of_any_hosts():
@@ -284,7 +284,7 @@
 def test_a_host_uses_a_path_again_when_it_has_healed():
     shared = _shared()
     shared.note("t", "look", "r", HealthSignal.UNREACHABLE, 0.3, 1.0)
-    assert shared.is_cut_off("t", 2.0)
-    assert not shared.is_cut_off("t", 20.0)
+    assert shared.is_path_broken("t", 2.0)
+    assert not shared.is_path_broken("t", 20.0)
     shared.note("t", "look", "r", HealthSignal.SUCCEEDED, 0.3, 2.0)
-    assert not shared.is_cut_off("t", 2.0)
+    assert not shared.is_path_broken("t", 2.0)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -336,7 +336,7 @@
             target.incarnation
             for target in usable
             if target.centre == self.settings.centre
-            and not self.shared.is_cut_off(target.incarnation, at)
+            and not self.shared.is_path_broken(target.incarnation, at)
         }
         return [target.incarnation for target in usable], near
 
