--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -57,7 +57,7 @@
     """
     shared = SharedState(0.2, 10.0, started=-100.0)
     former, present = _target(1000), _target(2000)
-    shared.forget_targets({present.incarnation}, 10.0)
+    shared.evict_targets({present.incarnation}, 10.0)
     before = shared.fails(present.incarnation, 2.0)
     shared.take(
         _news(
@@ -70,7 +70,7 @@
     )
     assert shared.fails(present.incarnation, 2.0) == before
     assert shared.in_flight(present.incarnation) == 0
-    shared.forget_targets({present.incarnation}, 10.0)
+    shared.evict_targets({present.incarnation}, 10.0)
     assert former.incarnation not in shared.beliefs
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -409,7 +409,7 @@
         """Return the probability that a target is in its failing state."""
         return self.beliefs.get(target_id, _UNKNOWN).failing_probability(now)
 
-    def forget_targets(self, known, now):
+    def evict_targets(self, known, now):
         """Forget what is kept of lives of targets that are no longer listed."""
         self.beliefs = {key: b for key, b in self.beliefs.items() if key in known}
         self.paths = {key: b for key, b in self.paths.items() if key in known}
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -192,7 +192,7 @@
         for target_id in gone:
             log.info("unlisted", extra={"target": target_id})
         lives = self.registry.lives()
-        self.shared.forget_targets(lives, at)
+        self.shared.evict_targets(lives, at)
         self.limits.evict(lives)
 
     def _take_entry(self, record, at):
