--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -344,7 +344,7 @@
         """Return when a host, of this data centre or another, last sent to a target."""
         return self._used_at.get(tag_of(target_id), -math.inf)
 
-    def forget_silent(self, now):
+    def evict_silent(self, now):
         """Forget hosts that have been silent, and return their ids."""
         silent = [
             host
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
@@ -54,7 +54,7 @@
 def test_the_work_of_a_silent_host_is_forgotten():
     shared = _shared()
     shared.take(_news(1, in_flight={"t": 4}), 1.0)
-    assert shared.forget_silent(1.1 + SILENT_AFTER) == ["peer"]
+    assert shared.evict_silent(1.1 + SILENT_AFTER) == ["peer"]
     assert shared.in_flight("t") == 0
 
 
@@ -192,7 +192,7 @@
     for number in range(11):
         shared.take(_news(1, host=f"h{number}"), 1.0)
     assert shared.may_retry("look", 12.0, 1.0)
-    shared.forget_silent(1.0 + 2 * SILENT_AFTER)
+    shared.evict_silent(1.0 + 2 * SILENT_AFTER)
     assert not shared.may_retry("look", 12.0, 1.0)
 
 
