--- a/packages/plumsaddle-core/plumsaddle_core/ops/peer_table.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/peer_table.py
@@ -127,7 +127,7 @@
         if address != self._address and address not in self._known:
             self._known[address] = Neighbour(now - KNOWN_FOR / 2)
 
-    def forget_silent(self, now):
+    def evict_silent(self, now):
         """Forget hosts that have been silent for long."""
         known = self._known.items()
         self._known = {a: h for a, h in known if now - h.heard_at < KNOWN_FOR}
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -170,7 +170,7 @@
 
     def beat(self, at):
         """Tell the others that this host lives, and look for others."""
-        self._peer_table.forget_silent(at)
+        self._peer_table.evict_silent(at)
         for host in self._shared.evict_silent(at):
             log.info("silent", extra={"peer": host})
         self._shared.quotas.tick(at)
