--- a/packages/plumsaddle-core/plumsaddle_core/ops/remote_load.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/remote_load.py
@@ -64,7 +64,7 @@
         """Return the requests in flight at a target from all other data centres."""
         return self._sums.counts.get(tag, 0)
 
-    def forget_silent(self, now):
+    def evict_silent(self, now):
         """Forget the work of data centres that have been silent."""
         heard = self._loads.items()
         self._loads = {c: entry for c, entry in heard if now - entry[1] < LOAD_FOR}
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -354,7 +354,7 @@
         for host in silent:
             self._others.subtract(self._peers.pop(host).in_flight)
         self._others = +self._others
-        self._elsewhere.forget_silent(now)
+        self._elsewhere.evict_silent(now)
         self.limits.membership.evict(now)
         heard = self._far.items()
         self._far = {h: entry for h, entry in heard if now - entry[1] < FAR_FOR}
