--- a/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
@@ -106,7 +106,7 @@
         trial = find_trial(
             *list_targets(),
             lambda target_id: shared.failing(target_id, now),
-            shared.used_at,
+            shared.last_used_at,
             floor_share,
             now,
         )
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -340,7 +340,7 @@
         lost = missing + len(self._restarts)
         return lost >= max(LOST_FEWEST, LOST_SHARE * self._most_heard)
 
-    def used_at(self, target_id):
+    def last_used_at(self, target_id):
         """Return when a host, of this data centre or another, last sent to a target."""
         return self._used_at.get(tag_of(target_id), -math.inf)
 
