--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -388,7 +388,7 @@
         """Return whether the work in flight from another data centre is known."""
         return self._elsewhere.is_known(centre, now)
 
-    def load(self):
+    def local_load(self):
         """Return the work in flight from this data centre, by tag of target."""
         return dict(self._others + Counter(self.own_in_flight()))
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -93,7 +93,7 @@
             settings.id,
             self._life,
             self._load_number,
-            self._shared.load(),
+            self._shared.local_load(),
             local_hosts=tuple(self._shared.quotas.local_hosts()),
             quotas=[tuple(row) for row in self._shared.quotas.remote_rows(at)],
         )
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -233,7 +233,7 @@
         """Tell the other data centres what is in flight."""
         self._push(at + LOAD_EVERY, self._tell_load, centre)
         self._load_number += 1
-        counts = self.shared_states[centre].load()
+        counts = self.shared_states[centre].local_load()
         load = RemoteLoad(str(centre), "host", 1, self._load_number, counts)
         self._push(at + FAR_SECONDS, self._take_load, centre, load)
 
