--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -99,7 +99,7 @@
     def __init__(self):
         self._suspects = {}
         self._recent = deque()
-        self.near_record_count = 0
+        self.local_record_count = 0
         self._recent_crashes = {}
         self._held_until = {}
         self._is_up_to_date = True
@@ -141,7 +141,7 @@
         incarnations.add(record.incarnation)
         self._is_up_to_date = False
         self._recent.append((now, record, is_own, is_near))
-        self.near_record_count += is_near
+        self.local_record_count += is_near
         return True
 
     def add_stored(self, key, crashed, answered, now):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
@@ -144,10 +144,10 @@
     suspects = SuspectRequests()
     for number in range(MAX_INCARNATIONS):
         _crash(suspects, "bad", f"incarnation-{number}")
-    count = suspects.near_record_count
+    count = suspects.local_record_count
     for _ in range(3):
         assert not suspects.add(RunRecord("bad", "one more", True), 5.0)
-    assert suspects.near_record_count == count
+    assert suspects.local_record_count == count
     # The crash still extends the hold.
     assert suspects.hold_remaining("bad", 5.0) == MAX_HOLD
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -40,7 +40,7 @@
     @property
     def has_urgent_news(self):
         """Whether something was seen here that makes a target or a request worse."""
-        has_runs = self._shared.suspects.near_record_count != self._runs_told
+        has_runs = self._shared.suspects.local_record_count != self._runs_told
         has_limits = self._shared.limits.advertised.has_remote_pending
         return has_runs or has_limits or self._shared.evidence.has_untold
 
@@ -60,7 +60,7 @@
         settings = self._settings
         suspects = self._shared.suspects
         runs = [tuple(note) for note in suspects.near_records(at)]
-        self._runs_told = suspects.near_record_count
+        self._runs_told = suspects.local_record_count
         evidence = [
             (e.number, e.target, round(e.ratio, 3))
             for e in self._shared.evidence.take()
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -100,12 +100,12 @@
         """
         if isinstance(message, Work):
             self._collected.note_client(address, at)
-            runs_known = self._shared.suspects.near_record_count
+            runs_known = self._shared.suspects.local_record_count
             limits_known = self._shared.limits.advertised.revision
             if self._take_work(message, at):
                 self._collected.add_work(message.host, data)
                 is_calm = all(row[4] in DEFERRABLE_OUTCOMES for row in message.outcomes)
-                has_runs = self._shared.suspects.near_record_count > runs_known
+                has_runs = self._shared.suspects.local_record_count > runs_known
                 has_limits = self._shared.limits.advertised.revision != limits_known
                 self._ways.send_soon(has_runs or has_limits or not is_calm)
         elif isinstance(message, Bundle):
