--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -209,7 +209,7 @@
         recent = self._prune_recent(now - GOSSIP_WINDOW)
         return [record for _, record, is_own, _ in recent if is_own][-MAX_RECORDS:]
 
-    def near_records(self, now):
+    def local_records(self, now):
         """Return the data centre's recent `RunRecord`s, to send to the others."""
         recent = self._prune_recent(now - GOSSIP_WINDOW)
         return [record for _, record, _, is_near in recent if is_near][-MAX_RECORDS:]
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -59,7 +59,7 @@
         """
         settings = self._settings
         suspects = self._shared.suspects
-        runs = [tuple(note) for note in suspects.near_records(at)]
+        runs = [tuple(note) for note in suspects.local_records(at)]
         self._runs_told = suspects.local_record_count
         evidence = [
             (e.number, e.target, round(e.ratio, 3))
