--- a/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
@@ -63,7 +63,7 @@
     """
 
     target: Target
-    fails: float
+    failure_probability: float
     in_flight: int
     is_cold: bool
     is_near: bool
@@ -138,11 +138,11 @@
 
 def send_value(candidate, demand, expected):
     """Return the expected value of a send, 1 being a sure answer in time."""
-    fails = candidate.fails
+    fails = candidate.failure_probability
     cost = fails * (1.0 - REPEAT_RELIEF) if demand.kind.is_idempotent else fails
     value = (1.0 - cost) * _time_value(expected, demand)
     value -= SPREAD * _fullness(candidate)
-    if candidate.fails >= TRIAL_FROM:
+    if candidate.failure_probability >= TRIAL_FROM:
         value -= TRIAL_BUSY * candidate.in_flight
     if candidate.has_link:
         value += LINK_VALUE
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -349,7 +349,7 @@
                 "target": target.id,
                 "retry": retry_cause,
                 "rule": choice.rule.value,
-                "fails": round(choice.candidate.fails, 3),
+                "fails": round(choice.candidate.failure_probability, 3),
                 "in_flight": choice.candidate.in_flight,
                 "near": choice.candidate.is_near,
                 "expected": round(choice.expected, 3),
@@ -500,4 +500,4 @@
         return False
     candidate = choice.candidate
     has_room = candidate.in_flight < candidate.target.slots
-    return has_room and candidate.fails < HEDGE_FAILS_MOST
+    return has_room and candidate.failure_probability < HEDGE_FAILS_MOST
