--- a/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
@@ -67,7 +67,7 @@
     in_flight: int
     is_cold: bool
     is_near: bool
-    has_link: bool = False
+    has_connection: bool = False
     is_counted: bool = True
     wait: float = 0.0
 
@@ -144,7 +144,7 @@
     value -= SPREAD * _fullness(candidate)
     if candidate.failure_probability >= TRIAL_FROM:
         value -= TRIAL_BUSY * candidate.in_flight
-    if candidate.has_link:
+    if candidate.has_connection:
         value += LINK_VALUE
     if not candidate.is_near:
         value -= AWAY_COST + AWAY_COST_KB * demand.kilobytes
