--- a/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
@@ -68,7 +68,7 @@
     is_cold: bool
     is_near: bool
     has_connection: bool = False
-    is_counted: bool = True
+    is_load_known: bool = True
     wait: float = 0.0
 
 
@@ -158,7 +158,7 @@
     Beyond its slots a target's work waits, and the expected time says so. Targets of a
     data centre that is not heard are taken to be half busy.
     """
-    if not candidate.is_counted:
+    if not candidate.is_load_known:
         return UNCOUNTED_FULLNESS
     return min(1.0, candidate.in_flight / max(1, candidate.target.slots))
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -274,7 +274,7 @@
             shared.in_flight(target_id),
             is_cold=False,
             is_near=_is_in(model, target_id, centre),
-            is_counted=_is_in(model, target_id, centre)
+            is_load_known=_is_in(model, target_id, centre)
             or shared.knows_remote_load(model.workers[target_id].target.centre, at),
         )
         for target_id in candidate_ids
