--- a/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
@@ -96,7 +96,7 @@
     """
 
     candidate: Candidate
-    value: float
+    score: float
     expected: float
     load: float
     rule: Rule = Rule.BEST
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -62,7 +62,7 @@
 
 def _is_good(choice):
     """Return whether a choice is as good as one among more targets likely is."""
-    return choice is not None and choice.value >= WIDEN_BELOW
+    return choice is not None and choice.score >= WIDEN_BELOW
 
 
 def _is_final(choice):
