--- a/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
@@ -97,7 +97,7 @@
 
     candidate: Candidate
     score: float
-    expected: float
+    expected_duration: float
     load: float
     rule: Rule = Rule.BEST
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -352,7 +352,7 @@
                 "fails": round(choice.candidate.failure_probability, 3),
                 "in_flight": choice.candidate.in_flight,
                 "near": choice.candidate.is_near,
-                "expected": round(choice.expected, 3),
+                "expected": round(choice.expected_duration, 3),
                 "entry_age": round(at - target.read_at, 1),
                 "limit": self._knowledge.limits.rate(target),
                 "wait": round(choice.candidate.wait, 3),
@@ -442,7 +442,7 @@
             extra={
                 "request": self._ask.id.decode("latin-1"),
                 "target": target.id,
-                "expected": round(choice.expected, 3),
+                "expected": round(choice.expected_duration, 3),
             },
         )
 
@@ -475,7 +475,7 @@
 
 def _slow_after(factor, choice):
     """Return the seconds after which a send is slow, by a factor of the expected."""
-    return max(SLOW_LEAST, factor * choice.expected)
+    return max(SLOW_LEAST, factor * choice.expected_duration)
 
 
 def _has_no_room(choice, demand, urgent):
@@ -486,7 +486,7 @@
     """
     candidate = choice.candidate
     is_full = candidate.in_flight >= candidate.target.slots
-    return is_full and choice.expected >= demand.time_left * patience(urgent)
+    return is_full and choice.expected_duration >= demand.time_left * patience(urgent)
 
 
 def _is_worth_hedging(choice):
