--- a/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
@@ -98,7 +98,7 @@
     candidate: Candidate
     score: float
     expected_duration: float
-    load: float
+    slowdown: float
     rule: Rule = Rule.BEST
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -425,7 +425,7 @@
             ):
                 fate = SendOutcome.TIMED_OUT
             has_waits = Feature.WORK_TIMES in self._knowledge.settings.disabled_features
-            work = seconds if has_waits else seconds / choice.load
+            work = seconds if has_waits else seconds / choice.slowdown
             if not is_stuck:
                 self._knowledge.note(target, self._ask.route, fate, work)
             elif fate is SendOutcome.SUCCEEDED:
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -283,7 +283,7 @@
     work = model.shape.work
     demand = Demand(RequestKind.ORDER, usual, OBJECTIVE * work, TIME_LIMIT * work, 1.0)
     choice = choose_target(candidates, demand, model.rng)
-    return model.workers[choice.candidate.target.id], choice.load
+    return model.workers[choice.candidate.target.id], choice.slowdown
 
 
 def _is_in(model, target_id, centre):
