--- a/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
@@ -47,7 +47,7 @@
 UNCOUNTED_FULLNESS = 0.5
 
 
-class Rule(enum.Enum):
+class ChoiceRule(enum.Enum):
     """What chose a target."""
 
     BEST = "best"
@@ -99,7 +99,7 @@
     score: float
     expected_duration: float
     slowdown: float
-    rule: Rule = Rule.BEST
+    rule: ChoiceRule = ChoiceRule.BEST
 
 
 def choose_target(candidates, demand, rng):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -17,7 +17,7 @@
 from plumsaddle_core.limits.meter import Tolerance
 from plumsaddle_core.limits.quotas import Quotas
 from plumsaddle_core.limits.targets import TargetLimits
-from plumsaddle_core.ops.choice import Candidate, Demand, Rule, choose_target
+from plumsaddle_core.ops.choice import Candidate, ChoiceRule, Demand, choose_target
 from plumsaddle_core.ops.floor import Trials
 from plumsaddle_core.ops.peer_updates import DEFERRABLE_OUTCOMES, HealthSignal
 from plumsaddle_core.ops.registry import Registry
@@ -67,7 +67,7 @@
 
 def _is_final(choice):
     """Return whether no target for which a request has to wait need be weighed."""
-    is_trial = choice is not None and choice.rule is Rule.FLOOR_TRIAL
+    is_trial = choice is not None and choice.rule is ChoiceRule.FLOOR_TRIAL
     return is_trial or _is_good(choice)
 
 
@@ -289,7 +289,7 @@
         if trial is not None:
             tried = [target for target in usable if target.incarnation == trial]
             choice = self._choose_among(tried, demand, has_link, at)
-            return choice._replace(rule=Rule.FLOOR_TRIAL)
+            return choice._replace(rule=ChoiceRule.FLOOR_TRIAL)
         rate = self._rates.setdefault(service, Rate()).note(at)
         subset = self._subset(service, usable, rate)
         kept_to = [target for target in subset if target.id not in excluded]
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
@@ -14,7 +14,7 @@
     Target,
     TargetState,
 )
-from plumsaddle_core.ops.choice import Demand, Rule
+from plumsaddle_core.ops.choice import ChoiceRule, Demand
 from plumsaddle_core.ops.peer_updates import HealthSignal
 
 from .clock import now
@@ -98,4 +98,4 @@
     if is_cut_off:
         knowledge.shared.note("t3", "act", "r", HealthSignal.UNREACHABLE, 0.3, at)
     chosen, rule = _choose(knowledge)
-    assert (chosen == "t3" and rule is Rule.FLOOR_TRIAL) is not is_cut_off
+    assert (chosen == "t3" and rule is ChoiceRule.FLOOR_TRIAL) is not is_cut_off
