--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -188,7 +188,7 @@
     centre: DataCentre
     centres: tuple[DataCentre, ...]
     callers: Address
-    ready: Address
+    readiness_address: Address
     peers: Address
     seeds: tuple[Address, ...]
     store: Address
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -162,7 +162,7 @@
         ready = web.Server(self._answer_operator, access_log=None)
         self._servers = [
             await _listen(self._callers, self.settings.callers),
-            await _listen(ready, self.settings.ready),
+            await _listen(ready, self.settings.readiness_address),
         ]
         loop = asyncio.get_running_loop()
         for work in (
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
@@ -541,7 +541,7 @@
         await asyncio.sleep(0.1)
         leaving = asyncio.ensure_future(host.leave())
         await asyncio.sleep(0.1)
-        ready = f"http://{host.settings.ready}/readyz"
+        ready = f"http://{host.settings.readiness_address}/readyz"
         async with trial.session.get(ready) as resp:
             assert resp.status == 503
         status, headers, _ = await asked
@@ -606,7 +606,9 @@
         status, headers, _ = await trial.ask("/look/a", "id-1", host=1)
         assert status == 503
         assert "Retry-After" in headers
-        async with trial.session.get(f"http://{host.settings.ready}/readyz") as resp:
+        async with trial.session.get(
+            f"http://{host.settings.readiness_address}/readyz"
+        ) as resp:
             assert resp.status == 503
         trial.store.fault = Fault.NONE
         await until(lambda: host.knowledge.is_complete)
