--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -187,7 +187,7 @@
     id: HostId
     centre: DataCentre
     centres: tuple[DataCentre, ...]
-    callers: Address
+    caller_address: Address
     readiness_address: Address
     peers: Address
     seeds: tuple[Address, ...]
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -161,7 +161,7 @@
         self._callers = FrontServer(self.front, self.knowledge)
         ready = web.Server(self._answer_operator, access_log=None)
         self._servers = [
-            await _listen(self._callers, self.settings.callers),
+            await _listen(self._callers, self.settings.caller_address),
             await _listen(ready, self.settings.readiness_address),
         ]
         loop = asyncio.get_running_loop()
@@ -176,7 +176,7 @@
         log.info(
             "start",
             extra={
-                "callers": self.settings.callers,
+                "callers": self.settings.caller_address,
                 "store": self.settings.store,
                 "off": sorted(part.value for part in self.settings.disabled_features),
             },
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_faults_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_faults_test.py
@@ -239,7 +239,7 @@
         b"Content-Length: 0\r\n\r\n" % HOST_NAME.encode()
     )
     async with Trial(services=("act",)) as trial:
-        ip, port = split_address(trial.hosts[0].settings.callers)
+        ip, port = split_address(trial.hosts[0].settings.caller_address)
         reader, writer = await asyncio.open_connection(ip, port)
         writer.write(
             b"POST /act/a HTTP/1.1\r\nHost: %s\r\nRequest-Id: id-1\r\n%s\r\n0\r\n\r\n%s"
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_keys_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_keys_test.py
@@ -88,7 +88,7 @@
     async with Trial(services=("look",)) as trial:
         await _publish_and_wait(trial, 2)
         reader, writer = await asyncio.open_connection(
-            *trial.hosts[0].settings.callers.split(":")
+            *trial.hosts[0].settings.caller_address.split(":")
         )
         writer.write(
             b"GET /look/a HTTP/1.1\r\nHost: records.example\r\nRequest-Id: id-1\r\n"
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
@@ -483,7 +483,7 @@
     async with Trial(services=("look",)) as trial:
         trial.store.put(OPERATOR, "config", configuration(2, limits=limits))
         await until(lambda: trial.hosts[0].knowledge.cfg.version == 2)
-        ip, port = split_address(trial.hosts[0].settings.callers)
+        ip, port = split_address(trial.hosts[0].settings.caller_address)
         head = b"GET /look/a HTTP/1.1\r\nHost: " + HOST_NAME.encode() + b"\r\n"
         rest = b"Request-Id: id-%d\r\n\r\n"
         reader, writer = await asyncio.open_connection(ip, port)
@@ -534,7 +534,7 @@
     """
     async with Trial(services=("up",), targets=1) as trial:
         host = trial.hosts[0]
-        ip, port = host.settings.callers.split(":")
+        ip, port = host.settings.caller_address.split(":")
         idle_reader, idle_writer = await asyncio.open_connection(ip, int(port))
         trial.workers["up-0"].work = 1.0
         asked = asyncio.ensure_future(trial.ask("/up/a", "id-1", "POST", b"scan"))
--- a/packages/plumsaddle-standins/plumsaddle_standins/trial.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/trial.py
@@ -268,7 +268,7 @@
     ):
         """Send a request and return its status, headers and body."""
         session = session or self.session
-        url = f"http://{self.hosts[host].settings.callers}{path}"
+        url = f"http://{self.hosts[host].settings.caller_address}{path}"
         headers = {
             "Host": HOST_NAME,
             "Request-Id": request_id,
