--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -191,7 +191,7 @@
     readiness_address: Address
     peers: Address
     seeds: tuple[Address, ...]
-    store: Address
+    store_address: Address
     bounds: Bounds
     link: float | None = None
     disabled_features: frozenset[Feature] = frozenset()
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -90,7 +90,7 @@
         self.knowledge = Knowledge(settings, rng)
         self.links = Links()
         self._store_session = make_session()
-        self.store = Store(self._store_session, f"http://{settings.store}")
+        self.store = Store(self._store_session, f"http://{settings.store_address}")
         registry = self.knowledge.registry
         self.store_gate = gate = Gate(
             registry.note_store_away,
@@ -177,7 +177,7 @@
             "start",
             extra={
                 "callers": self.settings.caller_address,
-                "store": self.settings.store,
+                "store": self.settings.store_address,
                 "off": sorted(part.value for part in self.settings.disabled_features),
             },
         )
