--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -193,7 +193,7 @@
     seeds: tuple[Address, ...]
     store_address: Address
     bounds: Bounds
-    link: float | None = None
+    link_rate: float | None = None
     disabled_features: frozenset[Feature] = frozenset()
 
     @property
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -100,12 +100,12 @@
         # restarted host would look older than it was and be ignored.
         self._life = secrets.randbits(48)
         is_bounded = Feature.ALLOWANCE not in settings.disabled_features
-        self._allowances = Allowances(settings.link, is_bounded)
+        self._allowances = Allowances(settings.link_rate, is_bounded)
         self._counted_at = 0.0
         self._number = 0
         # When the last messages to the hub were sent, by number.
         self._sent_at = {}
-        self._peer_table = PeerTable(settings.peers, settings.link)
+        self._peer_table = PeerTable(settings.peers, settings.link_rate)
         self._readers = Readers(gate, feeds, self._peer_table, self._send)
         self._others = OtherCentres(settings, shared, self._life, self._send, rng)
         self._collected = Collected()
@@ -193,7 +193,7 @@
             members = self._rng.sample(live, min(NAMED_IN_BEAT, len(live)))
             strangers = self._others.strangers.some(at)
         return Beat(
-            self._settings.link or 0.0,
+            self._settings.link_rate or 0.0,
             self._readers.contact(at),
             self._readers.read(at),
             self._readers.returned(at),
