--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -189,7 +189,7 @@
     centres: tuple[DataCentre, ...]
     caller_address: Address
     readiness_address: Address
-    peers: Address
+    peer_address: Address
     seeds: tuple[Address, ...]
     store_address: Address
     bounds: Bounds
@@ -199,7 +199,7 @@
     @property
     def has_seeds(self):
         """Whether other hosts are named, so that this one need not be the only one."""
-        return bool(set(self.seeds) - {self.peers})
+        return bool(set(self.seeds) - {self.peer_address})
 
 
 class SendOutcome(enum.Enum):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -105,7 +105,7 @@
         self._number = 0
         # When the last messages to the hub were sent, by number.
         self._sent_at = {}
-        self._peer_table = PeerTable(settings.peers, settings.link_rate)
+        self._peer_table = PeerTable(settings.peer_address, settings.link_rate)
         self._readers = Readers(gate, feeds, self._peer_table, self._send)
         self._others = OtherCentres(settings, shared, self._life, self._send, rng)
         self._collected = Collected()
@@ -134,7 +134,7 @@
 
     async def open(self):
         """Open the socket."""
-        address = split_address(self._settings.peers)
+        address = split_address(self._settings.peer_address)
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=address)
 
@@ -204,11 +204,11 @@
     def _ask(self, at):
         """Ask the seeds, and the hosts that are known elsewhere, for others."""
         settings = self._settings
-        hello = encode(Hello(settings.id, settings.centre, settings.peers))
+        hello = encode(Hello(settings.id, settings.centre, settings.peer_address))
         asked = set(settings.seeds)
         for strangers in self._others.strangers.some(at).values():
             asked.update(strangers)
-        for address in asked - {settings.peers}:
+        for address in asked - {settings.peer_address}:
             self._send(hello, address)
 
     # The hub.
@@ -303,7 +303,7 @@
             counts = self._shared.own_counts()
         return Work(
             self._settings.id,
-            self._settings.peers,
+            self._settings.peer_address,
             self._life,
             self._number,
             self._shared.own_in_flight(),
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -532,8 +532,8 @@
     spoken = [peers for peers, _, _ in hosts if peers._others._load_number]
     reading = [peers for peers, _, _ in hosts if peers._readers.is_reader]
     # The seed itself asks nobody.
-    assert [peers._settings.peers for peers in spoken] == list(seed)
-    assert [peers._settings.peers for peers in reading] == list(seed)
+    assert [peers._settings.peer_address for peers in spoken] == list(seed)
+    assert [peers._settings.peer_address for peers in reading] == list(seed)
     net.play(4.0)
     before = [peers._others._load_number for peers, _, _ in hosts]
     net.play(1.0)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -254,7 +254,7 @@
         else:
             known = self._others.strangers.of(hello.centre, at)
             self._others.strangers.remember(hello.centre, address, at)
-            own = [*self._peer_table.addresses(), self._settings.peers]
+            own = [*self._peer_table.addresses(), self._settings.peer_address]
             strangers[self._settings.centre] = own[-STRANGERS_NAMED:]
         known = [a for a in known if a != address]
         self._ways.send(encode(Members(known[:NAMED_MOST], strangers)), address)
--- a/packages/plumsaddle-standins/plumsaddle_standins/crashes.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/crashes.py
@@ -90,7 +90,7 @@
 
     def attach(self, host):
         """Put itself between a host and its socket."""
-        self._centres[host.settings.peers] = host.settings.centre
+        self._centres[host.settings.peer_address] = host.settings.centre
         host.peers._transport = _Filter(self, host)
 
     def passes(self, sender, address):
@@ -271,7 +271,7 @@
         await self._trial.hosts[number].shut()
 
     async def _start_host(self, number):
-        seeds = [host.settings.peers for host in self._trial.hosts[:3]]
+        seeds = [host.settings.peer_address for host in self._trial.hosts[:3]]
         host = await self._trial.add_host(number, seeds=seeds)
         self._trial.hosts[number] = self._trial.hosts.pop()
         self._net.attach(host)
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_rate_limit_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_rate_limit_test.py
@@ -144,7 +144,7 @@
     """Guards against limits that are told again by the hub alone, to all but itself."""
     async with Trial(("look",), targets=2, hosts=2) as trial:
         await name_at_all(trial, "0.5")
-        former = [host.settings.peers for host in trial.hosts]
+        former = [host.settings.peer_address for host in trial.hosts]
         port = next(
             port
             for port in iter(free_port, None)
@@ -154,7 +154,7 @@
         limits = late.knowledge.shared.limits.advertised
         await until(lambda: late.knowledge.is_complete and len(limits) == 2, 4.0)
         peer_table = [host.peers._peer_table for host in trial.hosts]
-        hubs = {None, late.settings.peers}
+        hubs = {None, late.settings.peer_address}
         await until(lambda: {known.hub for known in peer_table} == hubs)
 
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/trial.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/trial.py
@@ -176,7 +176,7 @@
           seeds: The addresses that it asks for others; the first host's if None.
         """
         if seeds is None:
-            seeds = [host.settings.peers for host in self.hosts[:1]]
+            seeds = [host.settings.peer_address for host in self.hosts[:1]]
         settings = HostSettings(
             f"host-{number}",
             self.centres[number % len(self.centres)],
