--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -42,8 +42,8 @@
     shared.start(former.incarnation, 1.0)
     shared.take(_news(1, {former.incarnation: 2}), 1.0)
     shared.note(former.incarnation, "look", "r", HealthSignal.FAILED, 0.0, 1.0)
-    assert shared.fails(former.incarnation, 1.0) > 0.5
-    assert shared.fails(present.incarnation, 1.0) < 0.25
+    assert shared.failure_probability(former.incarnation, 1.0) > 0.5
+    assert shared.failure_probability(present.incarnation, 1.0) < 0.25
     assert shared.in_flight(present.incarnation) == 0
     shared.end(former.incarnation)
 
@@ -58,7 +58,7 @@
     shared = SharedState(0.2, 10.0, started=-100.0)
     former, present = _target(1000), _target(2000)
     shared.evict_targets({present.incarnation}, 10.0)
-    before = shared.fails(present.incarnation, 2.0)
+    before = shared.failure_probability(present.incarnation, 2.0)
     shared.take(
         _news(
             1, {former.incarnation: 1}, [(0, former.incarnation, HealthSignal.FAILED)]
@@ -68,7 +68,7 @@
     shared.apply_remote_update(
         RemoteUpdate("far", 7, (Evidence(0, former.incarnation, 35.0),), ()), 2.0
     )
-    assert shared.fails(present.incarnation, 2.0) == before
+    assert shared.failure_probability(present.incarnation, 2.0) == before
     assert shared.in_flight(present.incarnation) == 0
     shared.evict_targets({present.incarnation}, 10.0)
     assert former.incarnation not in shared.beliefs
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -392,7 +392,7 @@
         """Return the work in flight from this data centre, by tag of target."""
         return dict(self._others + Counter(self.own_in_flight()))
 
-    def fails(self, target_id, now):
+    def failure_probability(self, target_id, now):
         """Return the probability that a send of this host's to a target fails."""
         target_fails = self.beliefs.get(target_id, _UNKNOWN).failure_probability(now)
         path_fails = self.paths.get(target_id, _UNKNOWN_PATH).failure_probability(now)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
@@ -34,7 +34,7 @@
     once.take(_news(1, [(0, "t", HealthSignal.FAILED)]), 1.0)
     for number in range(1, 6):
         shared.take(_news(number, [(0, "t", HealthSignal.FAILED)]), 1.0)
-    assert shared.fails("t", 1.0) == once.fails("t", 1.0)
+    assert shared.failure_probability("t", 1.0) == once.failure_probability("t", 1.0)
 
 
 def test_a_late_message_changes_nothing():
@@ -61,11 +61,11 @@
 def test_one_failure_convicts_and_time_or_an_answer_acquits():
     shared = _shared()
     shared.note("t", "look", "r", HealthSignal.FAILED, 0.001, 10.0)
-    assert shared.fails("t", 10.0) > 0.6
-    assert shared.fails("t", 30.0) < 0.3
+    assert shared.failure_probability("t", 10.0) > 0.6
+    assert shared.failure_probability("t", 30.0) < 0.3
     shared.note("t", "look", "r", HealthSignal.SUCCEEDED, 0.3, 18.0)
     shared.note("t", "look", "r", HealthSignal.SUCCEEDED, 0.3, 18.5)
-    assert shared.fails("t", 18.5) < 0.15
+    assert shared.failure_probability("t", 18.5) < 0.15
 
 
 def test_work_that_is_always_long_convicts_nobody():
@@ -78,11 +78,11 @@
     for number in range(40):
         shared.note(f"t{number}", "look", "long", HealthSignal.STUCK, 0.0, 1.0)
         shared.note(f"u{number}", "look", "short", HealthSignal.SUCCEEDED, 0.3, 1.0)
-    before = shared.fails("sound", 1.0)
+    before = shared.failure_probability("sound", 1.0)
     shared.note("sound", "look", "long", HealthSignal.STUCK, 0.0, 1.0)
-    assert shared.fails("sound", 1.0) < before + 0.05
+    assert shared.failure_probability("sound", 1.0) < before + 0.05
     shared.note("hangs", "look", "short", HealthSignal.STUCK, 0.0, 1.0)
-    assert shared.fails("hangs", 1.0) > 0.5
+    assert shared.failure_probability("hangs", 1.0) > 0.5
 
 
 def test_a_median_belongs_to_a_route():
@@ -136,11 +136,11 @@
     for number in range(30):
         shared.note(f"t{number}", "look", "r", HealthSignal.SUCCEEDED, 0.3, 1.0)
     shared.note("alone", "look", "r", HealthSignal.SHED, 0.001, 1.0)
-    assert shared.fails("alone", 1.0) > 0.5
+    assert shared.failure_probability("alone", 1.0) > 0.5
     for _ in range(60):
         shared.note("t1", "look", "r", HealthSignal.SHED, 0.001, 1.0)
     shared.note("one of many", "look", "r", HealthSignal.SHED, 0.001, 1.0)
-    assert shared.fails("one of many", 1.0) < 0.25
+    assert shared.failure_probability("one of many", 1.0) < 0.25
 
 
 def test_hosts_together_keep_the_bound_on_retries():
@@ -267,9 +267,9 @@
         is_cut = number % 5 == 0
         sign = HealthSignal.UNREACHABLE if is_cut else HealthSignal.SUCCEEDED
         other.take(_news(number, [(number, "t", sign)], host=f"h{number % 5}"), at)
-    assert cut.fails("t", 1.2) > 0.7
+    assert cut.failure_probability("t", 1.2) > 0.7
     assert cut.is_path_broken("t", 1.2)
-    assert other.fails("t", 1.2) < 0.1
+    assert other.failure_probability("t", 1.2) < 0.1
     assert not other.is_path_broken("t", 1.2)
 
 
@@ -278,7 +278,7 @@
     for number in range(3):
         news = _news(1, [(0, "t", HealthSignal.UNREACHABLE)], host=f"h{number}")
         shared.take(news, 1.0)
-    assert shared.fails("t", 1.0) > 0.6
+    assert shared.failure_probability("t", 1.0) > 0.6
 
 
 def test_a_host_uses_a_path_again_when_it_has_healed():
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -344,7 +344,7 @@
         is_near = target.centre == self.settings.centre
         return Candidate(
             target,
-            self.shared.fails(target.incarnation, at),
+            self.shared.failure_probability(target.incarnation, at),
             self.shared.in_flight(target.incarnation),
             at < target.read_at + target.warmup,
             is_near,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -283,7 +283,10 @@
     peers.beat(net.at)
     net.deliver()
     for _, shared, _ in hosts[4:]:
-        known = sum(shared.fails(f"t{number}", net.at) > 0.5 for number in range(40))
+        known = sum(
+            shared.failure_probability(f"t{number}", net.at) > 0.5
+            for number in range(40)
+        )
         # Two of three gateways are up, so one note in nine is lost twice.
         assert known >= 30
 
@@ -344,7 +347,7 @@
     peers.datagram_received(data, ("10.0.0.9", 7000))
     peers.beat(made.at)
     assert shared.in_flight("t") == 1
-    assert 0.0 < shared.fails("t", made.at) < 1.0
+    assert 0.0 < shared.failure_probability("t", made.at) < 1.0
 
 
 def test_work_in_flight_is_known_elsewhere(net):
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_lives_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_lives_test.py
@@ -65,14 +65,14 @@
             await trial.ask("/look/a", f"id-{number}")
         shared = trial.hosts[0].knowledge.shared
         former = trial.hosts[0].knowledge.registry.targets[worker.id].incarnation
-        assert shared.fails(former, now()) > 0.5
+        assert shared.failure_probability(former, now()) > 0.5
         trial.store.fault = Fault.OUT
         await asyncio.sleep(0.3)
         trial.store.put(TARGETS, worker.id, worker.entry(born=BORN_AGAIN))
         trial.store.fault = Fault.NONE
         targets = trial.hosts[0].knowledge.registry.targets
         await until(lambda: targets[worker.id].started_at == BORN_AGAIN)
-        assert shared.fails(targets[worker.id].incarnation, now()) < 0.3
+        assert shared.failure_probability(targets[worker.id].incarnation, now()) < 0.3
         assert former not in shared.beliefs
 
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_rate_limit_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_rate_limit_test.py
@@ -214,12 +214,12 @@
         trial.set_mode("look", Mode.SHED)
         shared = trial.hosts[0].knowledge.shared
         (life,) = trial.hosts[0].knowledge.registry.lives()
-        before = shared.fails(life, asyncio.get_running_loop().time())
+        before = shared.failure_probability(life, asyncio.get_running_loop().time())
         for number in range(5):
             await trial.ask("/look/a", f"rejected-{number}")
             await asyncio.sleep(0.1)
         assert len(worker.arrivals) >= 4
-        after = shared.fails(life, asyncio.get_running_loop().time())
+        after = shared.failure_probability(life, asyncio.get_running_loop().time())
         assert after == pytest.approx(before, abs=0.05)
 
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
@@ -276,7 +276,10 @@
         knowledge = trial.hosts[0].knowledge
         lives = [knowledge.registry.targets[w.id].incarnation for w in trial.of("look")]
         assert all(life in knowledge.shared.beliefs for life in lives)
-        assert max(knowledge.shared.fails(life, now()) for life in lives) < 0.2
+        assert (
+            max(knowledge.shared.failure_probability(life, now()) for life in lives)
+            < 0.2
+        )
 
 
 @in_loop
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -270,7 +270,7 @@
     candidates = [
         Candidate(
             model.workers[target_id].target,
-            shared.fails(target_id, at),
+            shared.failure_probability(target_id, at),
             shared.in_flight(target_id),
             is_cold=False,
             is_near=_is_in(model, target_id, centre),
