--- a/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
@@ -105,7 +105,7 @@
             return None
         trial = find_trial(
             *list_targets(),
-            lambda target_id: shared.failing(target_id, now),
+            lambda target_id: shared.failing_probability(target_id, now),
             shared.last_used_at,
             floor_share,
             now,
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -405,7 +405,7 @@
             >= CUT_OFF_FROM
         )
 
-    def failing(self, target_id, now):
+    def failing_probability(self, target_id, now):
         """Return the probability that a target is in its failing state."""
         return self.beliefs.get(target_id, _UNKNOWN).failing_probability(now)
 
@@ -438,9 +438,9 @@
             path_ratio = ratio
             ratio = min(MAX_SILENCE_LIKELIHOOD_RATIO, ratio)
         if ratio != 1.0:
-            before = self.failing(outcome.target, now)
+            before = self.failing_probability(outcome.target, now)
             self._belief(outcome.target).update(ratio, now)
-            if abs(self.failing(outcome.target, now) - before) >= SURPRISE:
+            if abs(self.failing_probability(outcome.target, now) - before) >= SURPRISE:
                 number = self.evidence.count
                 self.evidence.add(Evidence(number, outcome.target, ratio))
         return path_ratio
