--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -144,7 +144,7 @@
         else:
             del self._own[target_id]
 
-    def note(self, target_id, service, route, sign, seconds, now):
+    def note_outcome(self, target_id, service, route, sign, seconds, now):
         """
         Take an outcome that this host saw, and keep it for the others.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
@@ -60,11 +60,11 @@
 
 def test_one_failure_convicts_and_time_or_an_answer_acquits():
     shared = _shared()
-    shared.note("t", "look", "r", HealthSignal.FAILED, 0.001, 10.0)
+    shared.note_outcome("t", "look", "r", HealthSignal.FAILED, 0.001, 10.0)
     assert shared.failure_probability("t", 10.0) > 0.6
     assert shared.failure_probability("t", 30.0) < 0.3
-    shared.note("t", "look", "r", HealthSignal.SUCCEEDED, 0.3, 18.0)
-    shared.note("t", "look", "r", HealthSignal.SUCCEEDED, 0.3, 18.5)
+    shared.note_outcome("t", "look", "r", HealthSignal.SUCCEEDED, 0.3, 18.0)
+    shared.note_outcome("t", "look", "r", HealthSignal.SUCCEEDED, 0.3, 18.5)
     assert shared.failure_probability("t", 18.5) < 0.15
 
 
@@ -76,12 +76,14 @@
     """
     shared = _shared()
     for number in range(40):
-        shared.note(f"t{number}", "look", "long", HealthSignal.STUCK, 0.0, 1.0)
-        shared.note(f"u{number}", "look", "short", HealthSignal.SUCCEEDED, 0.3, 1.0)
+        shared.note_outcome(f"t{number}", "look", "long", HealthSignal.STUCK, 0.0, 1.0)
+        shared.note_outcome(
+            f"u{number}", "look", "short", HealthSignal.SUCCEEDED, 0.3, 1.0
+        )
     before = shared.failure_probability("sound", 1.0)
-    shared.note("sound", "look", "long", HealthSignal.STUCK, 0.0, 1.0)
+    shared.note_outcome("sound", "look", "long", HealthSignal.STUCK, 0.0, 1.0)
     assert shared.failure_probability("sound", 1.0) < before + 0.05
-    shared.note("hangs", "look", "short", HealthSignal.STUCK, 0.0, 1.0)
+    shared.note_outcome("hangs", "look", "short", HealthSignal.STUCK, 0.0, 1.0)
     assert shared.failure_probability("hangs", 1.0) > 0.5
 
 
@@ -91,9 +93,11 @@
     """
     shared = _shared()
     for number in range(100):
-        shared.note("t", "look", "short", HealthSignal.SUCCEEDED, 0.001, number)
+        shared.note_outcome("t", "look", "short", HealthSignal.SUCCEEDED, 0.001, number)
         if number % 10 == 0:
-            shared.note("t", "look", "long", HealthSignal.SUCCEEDED, 0.4, number)
+            shared.note_outcome(
+                "t", "look", "long", HealthSignal.SUCCEEDED, 0.4, number
+            )
     assert shared.times.typical_duration("look", "long") == 0.4
     assert shared.times.typical_duration("look", "new") == 0.4
 
@@ -106,7 +110,7 @@
     """
     shared = _shared()
     for number in range(10):
-        shared.note("t", "look", "short", HealthSignal.SUCCEEDED, 0.003, number)
+        shared.note_outcome("t", "look", "short", HealthSignal.SUCCEEDED, 0.003, number)
     assert shared.times.typical_duration("look", "new") == DEFAULT_DURATION
 
 
@@ -119,10 +123,10 @@
     """
     shared = _shared()
     for number in range(10):
-        shared.note("t", "look", "r", HealthSignal.SUCCEEDED, 0.003, number)
+        shared.note_outcome("t", "look", "r", HealthSignal.SUCCEEDED, 0.003, number)
     for number in range(20):
-        shared.note("t", "look", "r", HealthSignal.STUCK, 0.0, 10 + number)
-        shared.note("t", "look", "r", HealthSignal.LATE, 0.4, 10 + number)
+        shared.note_outcome("t", "look", "r", HealthSignal.STUCK, 0.0, 10 + number)
+        shared.note_outcome("t", "look", "r", HealthSignal.LATE, 0.4, 10 + number)
     assert shared.times.typical_duration("look", "r") == 0.4
 
 
@@ -134,12 +138,12 @@
     """
     shared = _shared()
     for number in range(30):
-        shared.note(f"t{number}", "look", "r", HealthSignal.SUCCEEDED, 0.3, 1.0)
-    shared.note("alone", "look", "r", HealthSignal.SHED, 0.001, 1.0)
+        shared.note_outcome(f"t{number}", "look", "r", HealthSignal.SUCCEEDED, 0.3, 1.0)
+    shared.note_outcome("alone", "look", "r", HealthSignal.SHED, 0.001, 1.0)
     assert shared.failure_probability("alone", 1.0) > 0.5
     for _ in range(60):
-        shared.note("t1", "look", "r", HealthSignal.SHED, 0.001, 1.0)
-    shared.note("one of many", "look", "r", HealthSignal.SHED, 0.001, 1.0)
+        shared.note_outcome("t1", "look", "r", HealthSignal.SHED, 0.001, 1.0)
+    shared.note_outcome("one of many", "look", "r", HealthSignal.SHED, 0.001, 1.0)
     assert shared.failure_probability("one of many", 1.0) < 0.25
 
 
@@ -263,7 +267,7 @@
     cut, other = _shared(), _shared()
     for number in range(12):
         at = number / 10
-        cut.note("t", "look", "r", HealthSignal.UNREACHABLE, 0.3, at)
+        cut.note_outcome("t", "look", "r", HealthSignal.UNREACHABLE, 0.3, at)
         is_cut = number % 5 == 0
         sign = HealthSignal.UNREACHABLE if is_cut else HealthSignal.SUCCEEDED
         other.take(_news(number, [(number, "t", sign)], host=f"h{number % 5}"), at)
@@ -283,8 +287,8 @@
 
 def test_a_host_uses_a_path_again_when_it_has_healed():
     shared = _shared()
-    shared.note("t", "look", "r", HealthSignal.UNREACHABLE, 0.3, 1.0)
+    shared.note_outcome("t", "look", "r", HealthSignal.UNREACHABLE, 0.3, 1.0)
     assert shared.is_path_broken("t", 2.0)
     assert not shared.is_path_broken("t", 20.0)
-    shared.note("t", "look", "r", HealthSignal.SUCCEEDED, 0.3, 2.0)
+    shared.note_outcome("t", "look", "r", HealthSignal.SUCCEEDED, 0.3, 2.0)
     assert not shared.is_path_broken("t", 2.0)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -437,7 +437,7 @@
     def _note(self, target, route, sign, seconds):
         if sign is None:
             return
-        self.shared.note(
+        self.shared.note_outcome(
             target.incarnation, target.service, route.name, sign, seconds, now()
         )
         self._tell(is_urgent=sign not in DEFERRABLE_OUTCOMES)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
@@ -62,7 +62,9 @@
     knowledge = _knowledge(200)
     kept_to = {target.id for target in knowledge._subset("act", _usable(knowledge), 1)}
     for target_id in kept_to:
-        knowledge.shared.note(target_id, "act", "r", HealthSignal.FAILED, 0.0, now())
+        knowledge.shared.note_outcome(
+            target_id, "act", "r", HealthSignal.FAILED, 0.0, now()
+        )
     assert _choose(knowledge)[0] not in kept_to
 
 
@@ -96,6 +98,8 @@
     for target_id in ("t0", "t1", "t2"):
         knowledge.shared.start(target_id, at)
     if is_cut_off:
-        knowledge.shared.note("t3", "act", "r", HealthSignal.UNREACHABLE, 0.3, at)
+        knowledge.shared.note_outcome(
+            "t3", "act", "r", HealthSignal.UNREACHABLE, 0.3, at
+        )
     chosen, rule = _choose(knowledge)
     assert (chosen == "t3" and rule is ChoiceRule.FLOOR_TRIAL) is not is_cut_off
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -185,7 +185,7 @@
     hosts = _fleet(net)
     hub = _hub(net, hosts[:3])
     peers, shared, _ = next(host for host in hosts[:3] if host[2] != hub)
-    shared.note("t", "act", "r", HealthSignal.FAILED, 0.001, net.at)
+    shared.note_outcome("t", "act", "r", HealthSignal.FAILED, 0.001, net.at)
     peers.tell_soon(is_urgent=True)
     net.deliver()
     for _, other, _ in hosts[:3]:
@@ -246,10 +246,10 @@
     hub = _hub(net, hosts[:3])
     peers, shared, address = next(host for host in hosts[:3] if host[2] != hub)
     for _ in range(6):
-        shared.note("t", "act", "r", HealthSignal.SUCCEEDED, 0.2, net.at)
+        shared.note_outcome("t", "act", "r", HealthSignal.SUCCEEDED, 0.2, net.at)
     peers.tell_soon(is_urgent=False)
     net.deliver()
-    shared.note("t", "act", "r", HealthSignal.SUCCEEDED, 0.2, net.at)
+    shared.note_outcome("t", "act", "r", HealthSignal.SUCCEEDED, 0.2, net.at)
     peers.tell_soon(is_urgent=False)
     sent = []
     while net.sent or net._later:
@@ -275,7 +275,9 @@
     net.play(HUB_KNOWN_FOR + 0.1)
     peers, shared, _ = hosts[1]
     for number in range(40):
-        shared.note(f"t{number}", "act", "r", HealthSignal.FAILED, 0.001, net.at)
+        shared.note_outcome(
+            f"t{number}", "act", "r", HealthSignal.FAILED, 0.001, net.at
+        )
         # The gateway is drawn anew while no hub there is known, and each note goes out
         # twice.
         peers.beat(net.at)
@@ -415,7 +417,7 @@
     left = [host for host in hosts[:4] if host[2] != hub]
     assert _hub(net, left) != hub
     peers, shared, _ = left[-1]
-    shared.note("t", "act", "r", HealthSignal.FAILED, 0.001, net.at)
+    shared.note_outcome("t", "act", "r", HealthSignal.FAILED, 0.001, net.at)
     peers.tell_soon(is_urgent=True)
     net.deliver()
     for _, other, _ in left:
@@ -473,7 +475,7 @@
     for _ in range(round(UNHEARD_FOR / HUB_EVERY) + 2):
         # The hub goes on telling all hosts of the others' work.
         for peers, shared, _ in others:
-            shared.note("u", "act", "r", HealthSignal.SUCCEEDED, 0.2, net.at)
+            shared.note_outcome("u", "act", "r", HealthSignal.SUCCEEDED, 0.2, net.at)
             peers.tell_soon(is_urgent=False)
         net.play(HUB_EVERY)
     apart[1].start("t", net.at)
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -209,7 +209,7 @@
         shared.end(worker.target.id)
         sign = HealthSignal.SUCCEEDED if is_whole else HealthSignal.FAILED
         work = (at - started) / load
-        shared.note(worker.target.id, SERVICE, ROUTE, sign, work, at)
+        shared.note_outcome(worker.target.id, SERVICE, ROUTE, sign, work, at)
         shared.note_end(SERVICE, is_whole, at)
         if shared.evidence.has_untold and self._is_shared:
             self._push(at + FAR_SECONDS, self._tell_far, centre, ())
--- a/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
@@ -208,7 +208,7 @@
     def _end(self, peers, shared, target, seconds):
         self._true[target] -= 1
         shared.end(target)
-        shared.note(target, "s", "r", HealthSignal.SUCCEEDED, seconds, self.at)
+        shared.note_outcome(target, "s", "r", HealthSignal.SUCCEEDED, seconds, self.at)
         self._measure(peers.tell_soon, False)
 
     def _sample(self):
