--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -39,7 +39,7 @@
     """
     shared = SharedState(0.2, 10.0, started=-100.0)
     former, present = _target(1000), _target(2000)
-    shared.start(former.incarnation, 1.0)
+    shared.note_send_start(former.incarnation, 1.0)
     shared.take(_news(1, {former.incarnation: 2}), 1.0)
     shared.note_outcome(former.incarnation, "look", "r", HealthSignal.FAILED, 0.0, 1.0)
     assert shared.failure_probability(former.incarnation, 1.0) > 0.5
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -130,7 +130,7 @@
 
     # This host's own work.
 
-    def start(self, target_id, now):
+    def note_send_start(self, target_id, now):
         """Count a send of this host's that starts."""
         self._use(tag_of(target_id), now)
         self._own[target_id] = self._own.get(target_id, 0) + 1
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -396,7 +396,7 @@
 
     def start(self, target):
         """Count a send that starts."""
-        self.shared.start(target.incarnation, now())
+        self.shared.note_send_start(target.incarnation, now())
         self.limits.acquire(target, now())
         self._tell(is_urgent=False)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
@@ -96,7 +96,7 @@
     knowledge = _knowledge(4, off=frozenset())
     at = now()
     for target_id in ("t0", "t1", "t2"):
-        knowledge.shared.start(target_id, at)
+        knowledge.shared.note_send_start(target_id, at)
     if is_cut_off:
         knowledge.shared.note_outcome(
             "t3", "act", "r", HealthSignal.UNREACHABLE, 0.3, at
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -301,7 +301,7 @@
     """
     hosts = _fleet(net, 2)
     peers, shared, address = hosts[0]
-    shared.start("t", net.at)
+    shared.note_send_start("t", net.at)
     peers.tell_soon(is_urgent=False)
     net.deliver()
     again, fresh, _ = hosts[0]
@@ -345,7 +345,7 @@
     """
     made = Net()
     peers, shared, address = made.add("x0", "x")
-    shared.start("t", made.at)
+    shared.note_send_start("t", made.at)
     peers.datagram_received(data, ("10.0.0.9", 7000))
     peers.beat(made.at)
     assert shared.in_flight("t") == 1
@@ -360,7 +360,7 @@
     """
     hosts = _fleet(net)
     for peers, shared, _ in hosts[:2]:
-        shared.start("t", net.at)
+        shared.note_send_start("t", net.at)
         peers.tell_soon(is_urgent=False)
     net.deliver()
     net.play(0.5)
@@ -496,7 +496,7 @@
     net.broken |= {(hub, apart[2]), (apart[2], hub)}
     net.play(HUB_SILENT_FOR + 2 * HUB_EVERY)
     for number, (peers, shared, _) in enumerate(hosts[:4]):
-        shared.start(f"t{number}", net.at)
+        shared.note_send_start(f"t{number}", net.at)
         peers.tell_soon(is_urgent=False)
     net.deliver()
     for _, shared, _ in hosts[:4]:
@@ -518,7 +518,7 @@
     net.sent.clear()
     for peers, shared, address in hosts:
         if address != hub:
-            shared.start("t", net.at)
+            shared.note_send_start("t", net.at)
             peers.tell_soon(is_urgent=False)
     net.run_calls()
     assert len(net.sent) == count - 1
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
@@ -241,7 +241,7 @@
         busy = knowledge.registry.targets["look-1"]
         # Work of other hosts, as they have told it.
         for _ in range(busy.slots):
-            knowledge.shared.start(busy.incarnation, now())
+            knowledge.shared.note_send_start(busy.incarnation, now())
         asked = asyncio.ensure_future(trial.ask("/look/a", "id-9"))
         await asyncio.sleep(1.0)
         assert not trial.workers["look-1"].runs
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -176,7 +176,7 @@
         shared = self.shared_states[centre]
         host = self.rng.randrange(HOSTS)
         worker, load = self._ways[centre](self, centre, host, at)
-        shared.start(worker.target.id, at)
+        shared.note_send_start(worker.target.id, at)
         worker.sent_at.append(at)
         worker.waiting.append((centre, at, load))
         self.sent += 1
--- a/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
@@ -200,7 +200,7 @@
         self._push(self._rng.expovariate(RATE), self._start, peers, shared)
         target = self._rng.choice(self._targets)
         self._true[target] = self._true.get(target, 0) + 1
-        shared.start(target, self.at)
+        shared.note_send_start(target, self.at)
         self._measure(peers.tell_soon, False)
         seconds = self._rng.expovariate(1 / WORK)
         self._push(seconds, self._end, peers, shared, target, seconds)
