--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -45,7 +45,7 @@
     assert shared.failure_probability(former.incarnation, 1.0) > 0.5
     assert shared.failure_probability(present.incarnation, 1.0) < 0.25
     assert shared.in_flight(present.incarnation) == 0
-    shared.end(former.incarnation)
+    shared.note_send_end(former.incarnation)
 
 
 def test_late_news_of_a_former_life_is_dropped():
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -135,7 +135,7 @@
         self._use(tag_of(target_id), now)
         self._own[target_id] = self._own.get(target_id, 0) + 1
 
-    def end(self, target_id):
+    def note_send_end(self, target_id):
         """Count a send of this host's that ended."""
         left = self._own[target_id] - 1
         assert left >= 0, "a send ended twice"
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -402,7 +402,7 @@
 
     def end(self, target):
         """Count a send that ended."""
-        self.shared.end(target.incarnation)
+        self.shared.note_send_end(target.incarnation)
         self._tell(is_urgent=False)
 
     def note(self, target, route, fate, seconds):
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
@@ -246,7 +246,7 @@
         await asyncio.sleep(1.0)
         assert not trial.workers["look-1"].runs
         for _ in range(busy.slots):
-            knowledge.shared.end(busy.incarnation)
+            knowledge.shared.note_send_end(busy.incarnation)
         status, _, _ = await asked
         assert trial.workers["look-0"].runs["id-9"] == 1
         assert status == 200
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -206,7 +206,7 @@
         self.served += is_whole
         self.in_time += is_whole and at - started <= OBJECTIVE * self.shape.work
         shared = self.shared_states[centre]
-        shared.end(worker.target.id)
+        shared.note_send_end(worker.target.id)
         sign = HealthSignal.SUCCEEDED if is_whole else HealthSignal.FAILED
         work = (at - started) / load
         shared.note_outcome(worker.target.id, SERVICE, ROUTE, sign, work, at)
--- a/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
@@ -207,7 +207,7 @@
 
     def _end(self, peers, shared, target, seconds):
         self._true[target] -= 1
-        shared.end(target)
+        shared.note_send_end(target)
         shared.note_outcome(target, "s", "r", HealthSignal.SUCCEEDED, seconds, self.at)
         self._measure(peers.tell_soon, False)
 
