--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -40,7 +40,7 @@
     shared = SharedState(0.2, 10.0, started=-100.0)
     former, present = _target(1000), _target(2000)
     shared.note_send_start(former.incarnation, 1.0)
-    shared.take(_news(1, {former.incarnation: 2}), 1.0)
+    shared.apply_update(_news(1, {former.incarnation: 2}), 1.0)
     shared.note_outcome(former.incarnation, "look", "r", HealthSignal.FAILED, 0.0, 1.0)
     assert shared.failure_probability(former.incarnation, 1.0) > 0.5
     assert shared.failure_probability(present.incarnation, 1.0) < 0.25
@@ -59,7 +59,7 @@
     former, present = _target(1000), _target(2000)
     shared.evict_targets({present.incarnation}, 10.0)
     before = shared.failure_probability(present.incarnation, 2.0)
-    shared.take(
+    shared.apply_update(
         _news(
             1, {former.incarnation: 1}, [(0, former.incarnation, HealthSignal.FAILED)]
         ),
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -224,7 +224,7 @@
 
     # The other hosts' work.
 
-    def take(self, news, now):
+    def apply_update(self, news, now):
         """
         Take another host's `PeerUpdate`; an older one than known is ignored.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
@@ -31,29 +31,29 @@
     Messages repeat the last outcomes, so that a lost one costs nothing.
     """
     shared, once = _shared(), _shared()
-    once.take(_news(1, [(0, "t", HealthSignal.FAILED)]), 1.0)
+    once.apply_update(_news(1, [(0, "t", HealthSignal.FAILED)]), 1.0)
     for number in range(1, 6):
-        shared.take(_news(number, [(0, "t", HealthSignal.FAILED)]), 1.0)
+        shared.apply_update(_news(number, [(0, "t", HealthSignal.FAILED)]), 1.0)
     assert shared.failure_probability("t", 1.0) == once.failure_probability("t", 1.0)
 
 
 def test_a_late_message_changes_nothing():
     shared = _shared()
-    shared.take(_news(5, in_flight={"t": 3}), 1.0)
-    shared.take(_news(4, in_flight={"t": 1}), 1.1)
+    shared.apply_update(_news(5, in_flight={"t": 3}), 1.0)
+    shared.apply_update(_news(4, in_flight={"t": 1}), 1.1)
     assert shared.in_flight("t") == 3
 
 
 def test_a_restarted_host_begins_anew():
     shared = _shared()
-    shared.take(_news(500, in_flight={"t": 3}, life=1), 1.0)
-    shared.take(_news(1, in_flight={"t": 1}, life=2), 2.0)
+    shared.apply_update(_news(500, in_flight={"t": 3}, life=1), 1.0)
+    shared.apply_update(_news(1, in_flight={"t": 1}, life=2), 2.0)
     assert shared.in_flight("t") == 1
 
 
 def test_the_work_of_a_silent_host_is_forgotten():
     shared = _shared()
-    shared.take(_news(1, in_flight={"t": 4}), 1.0)
+    shared.apply_update(_news(1, in_flight={"t": 4}), 1.0)
     assert shared.evict_silent(1.1 + SILENT_AFTER) == ["peer"]
     assert shared.in_flight("t") == 0
 
@@ -171,7 +171,7 @@
         for other, peer in enumerate(shared_states):
             if other != index:
                 news = _news(step, counts={"look": counts[index]}, host=str(index))
-                peer.take(news, at)
+                peer.apply_update(news, at)
     assert retries <= 0.2 * requests + 20
     assert retries > 0.6 * SPENT_PART * (0.2 * requests + 20)
 
@@ -194,7 +194,7 @@
 def test_a_host_that_hears_few_takes_little():
     shared = _shared()
     for number in range(11):
-        shared.take(_news(1, host=f"h{number}"), 1.0)
+        shared.apply_update(_news(1, host=f"h{number}"), 1.0)
     assert shared.may_retry("look", 12.0, 1.0)
     shared.evict_silent(1.0 + 2 * SILENT_AFTER)
     assert not shared.may_retry("look", 12.0, 1.0)
@@ -244,15 +244,15 @@
     """
     shared = _shared()
     for number in range(11):
-        shared.take(_news(1, host=f"h{number}"), 1.0)
+        shared.apply_update(_news(1, host=f"h{number}"), 1.0)
     assert not shared.is_degraded("look", 1.1)
     for number in range(5):
-        shared.take(_news(1, host=f"h{number}", life=2), 2.0)
+        shared.apply_update(_news(1, host=f"h{number}", life=2), 2.0)
     assert shared.is_degraded("look", 2.0)
     for number in range(11):
-        shared.take(_news(9, host=f"h{number}", life=2), 8.0)
+        shared.apply_update(_news(9, host=f"h{number}", life=2), 8.0)
     for number in range(11):
-        shared.take(_news(10, host=f"h{number}", life=2), 14.0)
+        shared.apply_update(_news(10, host=f"h{number}", life=2), 14.0)
     assert not shared.is_degraded("look", 14.1)
     assert shared.is_degraded("look", 17.0)
 
@@ -270,7 +270,9 @@
         cut.note_outcome("t", "look", "r", HealthSignal.UNREACHABLE, 0.3, at)
         is_cut = number % 5 == 0
         sign = HealthSignal.UNREACHABLE if is_cut else HealthSignal.SUCCEEDED
-        other.take(_news(number, [(number, "t", sign)], host=f"h{number % 5}"), at)
+        other.apply_update(
+            _news(number, [(number, "t", sign)], host=f"h{number % 5}"), at
+        )
     assert cut.failure_probability("t", 1.2) > 0.7
     assert cut.is_path_broken("t", 1.2)
     assert other.failure_probability("t", 1.2) < 0.1
@@ -281,7 +283,7 @@
     shared = _shared()
     for number in range(3):
         news = _news(1, [(0, "t", HealthSignal.UNREACHABLE)], host=f"h{number}")
-        shared.take(news, 1.0)
+        shared.apply_update(news, 1.0)
     assert shared.failure_probability("t", 1.0) > 0.6
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -133,7 +133,7 @@
             return False
         # Only news counts as a word of the host: a hub that wakes from a freeze passes
         # on what its clients said seconds ago.
-        if not self._shared.take(news_of(work), at):
+        if not self._shared.apply_update(news_of(work), at):
             return False
         self._peer_table.hear(work.address, at)
         self._take_runs(work.runs, True, at)
