--- a/packages/plumsaddle-core/plumsaddle_core/ops/floor_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/floor_test.py
@@ -68,7 +68,7 @@
 def test_trouble_lifts_the_bound_on_trials():
     shared = SharedState(0.2, 10.0, started=-100.0)
     for _ in range(20):
-        shared.note_end("s", False, 0.0)
+        shared.note_request_end("s", False, 0.0)
     trials = Trials()
     found = [trials.find("s", _both, shared, 0.7, 0.0) for _ in range(20)]
     assert None not in found
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -171,7 +171,7 @@
         """Count a further send of this host's for a service."""
         self._count(service, Counts(retries=1), now)
 
-    def note_end(self, service, is_served, now):
+    def note_request_end(self, service, is_served, now):
         """Count a request of this host's that ended, served or not."""
         self._count(service, Counts(ended=1, unserved=0 if is_served else 1), now)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -100,7 +100,7 @@
         try:
             answer = await run.serve()
             is_served = isinstance(answer, Reply) and answer.status < 500
-            self._knowledge.shared.note_end(ask.service, is_served, now())
+            self._knowledge.shared.note_request_end(ask.service, is_served, now())
             return answer
         finally:
             self._runs.discard(run)
