--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -71,7 +71,7 @@
     assert shared.failure_probability(present.incarnation, 2.0) == before
     assert shared.in_flight(present.incarnation) == 0
     shared.evict_targets({present.incarnation}, 10.0)
-    assert former.incarnation not in shared.beliefs
+    assert former.incarnation not in shared.target_estimators
 
 
 def test_the_registry_tells_a_restart_once():
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -102,7 +102,7 @@
     def __init__(
         self, ratio, window, started, has_paths=True, quotas=None, limits=None
     ):
-        self.beliefs = {}
+        self.target_estimators = {}
         self.paths = {}
         self._has_paths = has_paths
         self.times = RouteTimes()
@@ -394,7 +394,9 @@
 
     def failure_probability(self, target_id, now):
         """Return the probability that a send of this host's to a target fails."""
-        target_fails = self.beliefs.get(target_id, _UNKNOWN).failure_probability(now)
+        target_fails = self.target_estimators.get(
+            target_id, _UNKNOWN
+        ).failure_probability(now)
         path_fails = self.paths.get(target_id, _UNKNOWN_PATH).failure_probability(now)
         return 1.0 - (1.0 - target_fails) * (1.0 - path_fails)
 
@@ -407,11 +409,13 @@
 
     def failing_probability(self, target_id, now):
         """Return the probability that a target is in its failing state."""
-        return self.beliefs.get(target_id, _UNKNOWN).failing_probability(now)
+        return self.target_estimators.get(target_id, _UNKNOWN).failing_probability(now)
 
     def evict_targets(self, known, now):
         """Forget what is kept of lives of targets that are no longer listed."""
-        self.beliefs = {key: b for key, b in self.beliefs.items() if key in known}
+        self.target_estimators = {
+            key: b for key, b in self.target_estimators.items() if key in known
+        }
         self.paths = {key: b for key, b in self.paths.items() if key in known}
         self.limits.advertised.evict(known, now)
         tags = {tag_of(key) for key in known}
@@ -420,9 +424,9 @@
             self._near_used_at.pop(tag, None)
 
     def _belief(self, target_id):
-        belief = self.beliefs.get(target_id)
+        belief = self.target_estimators.get(target_id)
         if belief is None:
-            belief = self.beliefs[target_id] = FailureEstimator()
+            belief = self.target_estimators[target_id] = FailureEstimator()
         return belief
 
     def _weigh(self, outcome, now):
