--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
@@ -159,7 +159,7 @@
       demand: The request's `Demand`.
       urgency: How urgent it is for its service, from 0.0 to 1.0.
     """
-    spare = max(0.0, demand.objective_left - demand.usual)
+    spare = max(0.0, demand.objective_left - demand.typical_duration)
     return urgency * min(WAIT_MOST, WAIT_PART * spare)
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
@@ -81,7 +81,7 @@
     """
 
     kind: RequestKind
-    usual: float
+    typical_duration: float
     objective_left: float
     time_left: float
     kilobytes: float
@@ -117,7 +117,7 @@
     best_key = None
     for candidate in candidates:
         load = load_of(candidate)
-        expected = demand.usual * load
+        expected = demand.typical_duration * load
         value = send_value(candidate, demand, candidate.wait + expected)
         key = (value, rng.random())
         if best is None or key > best_key:
