--- a/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
@@ -66,7 +66,7 @@
     failure_probability: float
     in_flight: int
     is_cold: bool
-    is_near: bool
+    is_local: bool
     has_connection: bool = False
     is_load_known: bool = True
     wait: float = 0.0
@@ -146,7 +146,7 @@
         value -= TRIAL_BUSY * candidate.in_flight
     if candidate.has_connection:
         value += LINK_VALUE
-    if not candidate.is_near:
+    if not candidate.is_local:
         value -= AWAY_COST + AWAY_COST_KB * demand.kilobytes
     return value
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -351,7 +351,7 @@
                 "rule": choice.rule.value,
                 "fails": round(choice.candidate.failure_probability, 3),
                 "in_flight": choice.candidate.in_flight,
-                "near": choice.candidate.is_near,
+                "near": choice.candidate.is_local,
                 "expected": round(choice.expected_duration, 3),
                 "entry_age": round(at - target.read_at, 1),
                 "limit": self._knowledge.limits.rate(target),
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -273,7 +273,7 @@
             shared.failure_probability(target_id, at),
             shared.in_flight(target_id),
             is_cold=False,
-            is_near=_is_in(model, target_id, centre),
+            is_local=_is_in(model, target_id, centre),
             is_load_known=_is_in(model, target_id, centre)
             or shared.knows_remote_load(model.workers[target_id].target.centre, at),
         )
