--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ..core.traffic import RequestKind, Target, TargetState
-from ..ops.choice import Demand
+from ..ops.choice import RequestProfile
 from .membership import Membership
 from .targets import (
     RATE_LEAST,
@@ -100,7 +100,7 @@
 
 def test_only_urgent_requests_with_time_left_wait():
     """Guards against requests that wait for a token and are late or in the way."""
-    demand = Demand(RequestKind.IDEMPOTENT, 0.5, 1.5, 3.0, 1.0)
+    demand = RequestProfile(RequestKind.IDEMPOTENT, 0.5, 1.5, 3.0, 1.0)
     assert max_token_wait(demand, 1.0) == 0.5
     assert max_token_wait(demand, 0.5) == 0.25
     assert max_token_wait(demand, 0.0) == 0.0
--- a/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
@@ -72,7 +72,7 @@
     wait: float = 0.0
 
 
-class Demand(NamedTuple):
+class RequestProfile(NamedTuple):
     """
     What a request needs. Times are in seconds from now.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
@@ -6,7 +6,7 @@
 
 from ..core.traffic import RequestKind, Target, TargetState
 from .centre_retry_budget import SPENT_PART, CentreRetryBudget
-from .choice import Candidate, Demand, choose_target
+from .choice import Candidate, RequestProfile, choose_target
 from .peer_updates import Counts, HealthSignal, OutcomeRecord, PeerUpdate, tag_of
 from .route_times import DEFAULT_DURATION
 from .shared_state import SILENT_AFTER, SharedState
@@ -213,7 +213,7 @@
 
 
 def _demand(kind=RequestKind.ORDER, kilobytes=1.0):
-    return Demand(kind, 0.3, 1.2, 2.0, kilobytes)
+    return RequestProfile(kind, 0.3, 1.2, 2.0, kilobytes)
 
 
 def _chosen(candidates, demand):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -17,7 +17,12 @@
 from plumsaddle_core.limits.meter import Tolerance
 from plumsaddle_core.limits.quotas import Quotas
 from plumsaddle_core.limits.targets import TargetLimits
-from plumsaddle_core.ops.choice import Candidate, ChoiceRule, Demand, choose_target
+from plumsaddle_core.ops.choice import (
+    Candidate,
+    ChoiceRule,
+    RequestProfile,
+    choose_target,
+)
 from plumsaddle_core.ops.floor import Trials
 from plumsaddle_core.ops.peer_updates import DEFERRABLE_OUTCOMES, HealthSignal
 from plumsaddle_core.ops.registry import Registry
@@ -356,7 +361,7 @@
 
     def demand(self, route, service, started, deadline, kilobytes, at):
         """Return the `Demand` of a request by now."""
-        return Demand(
+        return RequestProfile(
             route.kind,
             self.shared.times.typical_duration(service, route.name),
             started + route.latency_objective - at,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
@@ -14,13 +14,13 @@
     Target,
     TargetState,
 )
-from plumsaddle_core.ops.choice import ChoiceRule, Demand
+from plumsaddle_core.ops.choice import ChoiceRule, RequestProfile
 from plumsaddle_core.ops.peer_updates import HealthSignal
 
 from .clock import now
 from .knowledge import Knowledge
 
-DEMAND = Demand(RequestKind.ORDER, 0.2, 0.6, 1.5, 1.0)
+DEMAND = RequestProfile(RequestKind.ORDER, 0.2, 0.6, 1.5, 1.0)
 
 
 def _knowledge(count, off=frozenset({Feature.FLOOR_TRIALS})):
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -29,7 +29,7 @@
 
 from plumsaddle_core.core.ids import ServiceName, TargetId
 from plumsaddle_core.core.traffic import RequestKind, Target, TargetState
-from plumsaddle_core.ops.choice import Candidate, Demand, choose_target
+from plumsaddle_core.ops.choice import Candidate, RequestProfile, choose_target
 from plumsaddle_core.ops.floor import Trials
 from plumsaddle_core.ops.peer_updates import HealthSignal, RemoteLoad, RemoteUpdate
 from plumsaddle_core.ops.shared_state import SharedState
@@ -281,7 +281,9 @@
     ]
     usual = shared.times.typical_duration(SERVICE, ROUTE)
     work = model.shape.work
-    demand = Demand(RequestKind.ORDER, usual, OBJECTIVE * work, TIME_LIMIT * work, 1.0)
+    demand = RequestProfile(
+        RequestKind.ORDER, usual, OBJECTIVE * work, TIME_LIMIT * work, 1.0
+    )
     choice = choose_target(candidates, demand, model.rng)
     return model.workers[choice.candidate.target.id], choice.slowdown
 
