--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -110,7 +110,7 @@
     def __contains__(self, key):
         return key in self._suspects
 
-    def add(self, record, now, is_own=False, is_near=True):
+    def add(self, record, now, is_own=False, is_local=True):
         """
         Add a record.
 
@@ -140,8 +140,8 @@
             return False
         incarnations.add(record.incarnation)
         self._is_up_to_date = False
-        self._recent.append((now, record, is_own, is_near))
-        self.local_record_count += is_near
+        self._recent.append((now, record, is_own, is_local))
+        self.local_record_count += is_local
         return True
 
     def add_stored(self, key, crashed, answered, now):
@@ -158,7 +158,7 @@
         records += [RunRecord(key, incarnation, False) for incarnation in answered]
         # Not gossiped: each host reads the store itself.
         for record in records:
-            self.add(record, now, is_near=False)
+            self.add(record, now, is_local=False)
         if key in self._suspects:
             self._suspects[key].stored = frozenset(crashed) | frozenset(answered)
 
