--- a/packages/plumsaddle-core/plumsaddle_core/ops/fingerprint_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/fingerprint_test.py
@@ -1,19 +1,17 @@
-"""
-Tests of the key under which a request is known when its caller comes again.
-"""
+"""Tests of the key that identifies a request across retries."""
 
 import itertools
 
 from .fingerprint import MAX_HASHED_BODY, request_key
 
 
-def _headers(host=b"records.example", **more):
+def _headers(host=b"records.example", **others):
     pairs = [(b"Host", host), (b"Request-Id", b"1"), (b"Accept", b"*/*")]
-    return pairs + [(name.encode(), value) for name, value in more.items()]
+    return pairs + [(name.encode(), value) for name, value in others.items()]
 
 
-ONE = ("POST", "/look/a?b=1", _headers(), b"abc")
-OTHERS = [
+REQUEST = ("POST", "/look/a?b=1", _headers(), b"abc")
+DIFFERENT = [
     ("PUT", "/look/a?b=1", _headers(), b"abc"),
     ("POST", "/look/a?b=2", _headers(), b"abc"),
     ("POST", "/look/a?b=1", _headers(b"records.examplf"), b"abc"),
@@ -21,42 +19,47 @@
     ("POST", "/look/a?b=1", _headers(authorization=b"two"), b"abc"),
     ("POST", "/look/a?b=1", _headers(cookie=b"one"), b"abc"),
     ("POST", "/look/a?b=1", _headers(), b"abd"),
-    # The same text, parted elsewhere.
+    # The same concatenated text, split at another place.
     ("POST/", "look/a?b=1", _headers(), b"abc"),
 ]
 
 
-def test_a_request_that_comes_again_has_the_same_key():
+def test_a_retry_has_the_same_key():
     """
-    A request that ends its targets is taken for a new one each time.
+    Each retry of a request that crashes targets is counted as another request.
 
-    Its id, the time that it may take and the trace that it is part of are new.
+    A retry differs in its request id, deadline and trace.
     """
-    again = [
+    retry_headers = [
         (b"HOST", b"Records.Example"),
         (b"request-id", b"2"),
         (b"deadline-ms", b"1200"),
         (b"traceparent", b"00-4bf92f"),
     ]
-    assert request_key(*ONE) == request_key(*ONE[:2], again, *ONE[3:])
+    assert request_key(*REQUEST) == request_key(
+        *REQUEST[:2], retry_headers, *REQUEST[3:]
+    )
 
 
-def test_requests_that_differ_in_anything_have_other_keys():
-    keys = [request_key(*fields) for fields in (ONE, *OTHERS)]
+def test_different_requests_have_different_keys():
+    keys = [request_key(*fields) for fields in (REQUEST, *DIFFERENT)]
     assert all(a != b for a, b in itertools.combinations(keys, 2))
 
 
-def test_a_path_that_is_no_text_has_a_key():
+def test_a_path_that_is_not_valid_utf_8_has_a_key():
     assert request_key("GET", "/look/\udcff", [], b"")
 
 
-def test_a_long_upload_has_the_same_key_however_much_of_it_has_come():
+def test_the_key_of_a_long_upload_does_not_depend_on_how_much_is_buffered():
     """
-    An upload that ends its targets is taken for a new one each time.
+    Each retry of an upload that crashes targets is counted as another request.
 
-    It is passed on while it comes, and how much of it has come by then differs.
+    Uploads are streamed, and how much has arrived when the key is made differs.
     """
-    long = bytes(range(256)) * 4096
-    keys = {request_key(*ONE[:3], long[: MAX_HASHED_BODY + more]) for more in (1, 9000)}
+    upload = bytes(range(256)) * 4096
+    keys = {
+        request_key(*REQUEST[:3], upload[: MAX_HASHED_BODY + extra])
+        for extra in (1, 9000)
+    }
     assert len(keys) == 1
-    assert request_key(*ONE[:3], long[:MAX_HASHED_BODY]) not in keys
+    assert request_key(*REQUEST[:3], upload[:MAX_HASHED_BODY]) not in keys
