--- a/packages/plumsaddle-core/plumsaddle_core/core/features.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/features.py
@@ -12,20 +12,20 @@
     """A mechanism, by the name that settings give it."""
 
     # Data centres tell each other outcomes that change a belief.
-    FAR_EVIDENCE = "far-evidence"
+    REMOTE_EVIDENCE = "far-evidence"
     # Data centres tell each other what they have in flight.
-    FAR_LOAD = "far-load"
+    REMOTE_LOAD = "far-load"
     # A host keeps what it believes of its own path apart from the target.
-    PATHS = "paths"
+    PATH_EVIDENCE = "paths"
     # Requests that keep sound targets in use.
     FLOOR_TRIALS = "floor-trials"
     # A second send beside a slow one.
-    SECOND_SENDS = "second-sends"
+    HEDGING = "second-sends"
     # Targets with an open connection are preferred.
     OPEN_CONNECTIONS = "open-connections"
     # The wait for a slot is not counted as work.
-    WORK_TIMES = "work-times"
+    SERVICE_TIMES = "work-times"
     # Requests under which targets have ended are held back.
-    HOLDING_BACK = "holding-back"
+    SUSPECT_HOLDS = "holding-back"
     # What hosts tell each other is bounded by their links.
-    ALLOWANCE = "allowance"
+    BANDWIDTH_LIMIT = "allowance"
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -65,7 +65,7 @@
             (e.number, e.target, round(e.ratio, 3))
             for e in self._shared.evidence.take()
         ]
-        if Feature.FAR_EVIDENCE in settings.disabled_features:
+        if Feature.REMOTE_EVIDENCE in settings.disabled_features:
             evidence = []
         limits = self._limit_rows(is_periodic=bool(used))
         if evidence or used or runs or limits:
@@ -85,7 +85,7 @@
     def tell_load(self, at):
         """Tell what the hosts of this data centre have in flight."""
         settings = self._settings
-        if Feature.FAR_LOAD in settings.disabled_features:
+        if Feature.REMOTE_LOAD in settings.disabled_features:
             return
         self._load_number += 1
         load = Load(
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -99,7 +99,7 @@
         # Drawn and not taken from a clock: the time of day jumps back, and then a
         # restarted host would look older than it was and be ignored.
         self._life = secrets.randbits(48)
-        is_bounded = Feature.ALLOWANCE not in settings.disabled_features
+        is_bounded = Feature.BANDWIDTH_LIMIT not in settings.disabled_features
         self._allowances = Allowances(settings.link_rate, is_bounded)
         self._counted_at = 0.0
         self._number = 0
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -195,7 +195,7 @@
     def _may_hedge(self):
         return (
             not self._is_hedged
-            and Feature.SECOND_SENDS not in self._knowledge.settings.disabled_features
+            and Feature.HEDGING not in self._knowledge.settings.disabled_features
             and self._ask.route.kind.is_idempotent
             and self._attempt.may_send()
             and self._suspicion.may_hedge()
@@ -424,7 +424,9 @@
                 HEDGE_FACTOR, choice
             ):
                 fate = SendOutcome.TIMED_OUT
-            has_waits = Feature.WORK_TIMES in self._knowledge.settings.disabled_features
+            has_waits = (
+                Feature.SERVICE_TIMES in self._knowledge.settings.disabled_features
+            )
             work = seconds if has_waits else seconds / choice.slowdown
             if not is_stuck:
                 self._knowledge.note(target, self._ask.route, fate, work)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
@@ -38,7 +38,7 @@
         self._suspects = knowledge.shared.suspects
         self._knowledge = knowledge
         self._endings = endings
-        self._is_off = Feature.HOLDING_BACK in knowledge.settings.disabled_features
+        self._is_off = Feature.SUSPECT_HOLDS in knowledge.settings.disabled_features
 
     @functools.cached_property
     def key(self):
--- a/packages/plumsaddle-standins/plumsaddle_standins/crashes.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/crashes.py
@@ -374,7 +374,7 @@
       runs: How many runs.
       naive: Whether hosts hold nothing back.
     """
-    off = frozenset({Feature.HOLDING_BACK}) if naive else frozenset()
+    off = frozenset({Feature.SUSPECT_HOLDS}) if naive else frozenset()
     logging.disable(logging.WARNING)
     broken = 0
     for number in range(seed, seed + runs):
--- a/packages/plumsaddle-standins/plumsaddle_standins/crashes_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/crashes_test.py
@@ -29,5 +29,5 @@
 
 def test_without_holding_back_such_a_request_goes_on():
     """The run above finds the fault that it was made for."""
-    tally = play(hosts=12, seed=3, seconds=15.0, off=frozenset({Feature.HOLDING_BACK}))
+    tally = play(hosts=12, seed=3, seconds=15.0, off=frozenset({Feature.SUSPECT_HOLDS}))
     assert max(tally.late.values()) > RETRIES_MOST
