--- a/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
@@ -19,7 +19,7 @@
 from ..core.traffic import Target
 
 # A service with fewer targets than this is used whole.
-SMALL = 48
+MIN_TARGETS_FOR_SUBSET = 48
 # The most targets that a host keeps to in its own data centre. A third of the targets
 # may fail at once and others be full, and of thirty there are still some that are idle.
 NEAR_MOST = 32
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -29,7 +29,7 @@
 from plumsaddle_core.ops.route_table import build_table
 from plumsaddle_core.ops.shared_state import SharedState
 from plumsaddle_core.ops.subset import (
-    SMALL,
+    MIN_TARGETS_FOR_SUBSET,
     WIDEN_BELOW,
     Rate,
     rank_targets,
@@ -306,7 +306,7 @@
 
     def _subset(self, service, usable, rate):
         """Return the targets of a service that this host keeps to."""
-        if len(usable) <= SMALL:
+        if len(usable) <= MIN_TARGETS_FOR_SUBSET:
             return usable
         revision, ranked = self._ranked.get(service, (-1, None))
         if revision != self.registry.revision:
