--- a/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
@@ -38,7 +38,7 @@
 RATE_OVER = 5.0
 # Below this value of the best one (shares of a request's value) all are weighed. An
 # idle sound target has 0.9 and more, a full one about 0.7.
-WIDEN_BELOW = 0.65
+MIN_SUBSET_SCORE = 0.65
 
 
 class Ranked(NamedTuple):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -29,8 +29,8 @@
 from plumsaddle_core.ops.route_table import build_table
 from plumsaddle_core.ops.shared_state import SharedState
 from plumsaddle_core.ops.subset import (
+    MIN_SUBSET_SCORE,
     MIN_TARGETS_FOR_SUBSET,
-    WIDEN_BELOW,
     Rate,
     rank_targets,
     subset_size,
@@ -67,7 +67,7 @@
 
 def _is_good(choice):
     """Return whether a choice is as good as one among more targets likely is."""
-    return choice is not None and choice.score >= WIDEN_BELOW
+    return choice is not None and choice.score >= MIN_SUBSET_SCORE
 
 
 def _is_final(choice):
