--- a/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
@@ -83,7 +83,7 @@
     return min(NEAR_MOST, max(NEAR_LEAST, math.ceil(max(for_reach, for_load))))
 
 
-class Rate:
+class EventRate:
     """How often something happens, over the last seconds."""
 
     def __init__(self):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/subset_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/subset_test.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ..core.traffic import Target, TargetState
-from .subset import NEAR_LEAST, NEAR_MOST, Rate, rank_targets, subset_size
+from .subset import NEAR_LEAST, NEAR_MOST, EventRate, rank_targets, subset_size
 
 CENTRES = ("x", "y", "z")
 HOSTS = [f"host-{number}" for number in range(45)]
@@ -71,7 +71,7 @@
 
 
 def test_a_rate_follows_what_happens():
-    rate = Rate()
+    rate = EventRate()
     for step in range(200):
         known = rate.note(step * 0.25)
     assert known == pytest.approx(4.0, rel=0.1)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -31,7 +31,7 @@
 from plumsaddle_core.ops.subset import (
     MIN_SUBSET_SCORE,
     MIN_TARGETS_FOR_SUBSET,
-    Rate,
+    EventRate,
     rank_targets,
     subset_size,
 )
@@ -295,7 +295,7 @@
             tried = [target for target in usable if target.incarnation == trial]
             choice = self._choose_among(tried, demand, has_link, at)
             return choice._replace(rule=ChoiceRule.FLOOR_TRIAL)
-        rate = self._rates.setdefault(service, Rate()).note(at)
+        rate = self._rates.setdefault(service, EventRate()).note(at)
         subset = self._subset(service, usable, rate)
         kept_to = [target for target in subset if target.id not in excluded]
         choice = self._choose_among(kept_to, demand, has_link, at)
