--- a/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
@@ -52,7 +52,7 @@
         return self.near[:count] + self.away[: math.ceil(count * AWAY_PART)]
 
 
-def rank_targets(targets, host, centre):
+def order_targets(targets, host, centre):
     """
     Return the `Ranked` targets of a service for a host.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/subset_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/subset_test.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ..core.traffic import Target, TargetState
-from .subset import NEAR_LEAST, NEAR_MOST, EventRate, rank_targets, subset_size
+from .subset import NEAR_LEAST, NEAR_MOST, EventRate, order_targets, subset_size
 
 CENTRES = ("x", "y", "z")
 HOSTS = [f"host-{number}" for number in range(45)]
@@ -32,7 +32,7 @@
     count = subset_size(80, len(HOSTS), 0.5)
     for host in HOSTS:
         for centre in CENTRES:
-            ranked = rank_targets(TARGETS, f"{centre}-{host}", centre)
+            ranked = order_targets(TARGETS, f"{centre}-{host}", centre)
             subset = ranked.first(count)
             assert len(subset) <= 1.5 * count + 1
             used.update(target.id for target in subset)
@@ -44,8 +44,8 @@
 
 def test_a_target_that_leaves_moves_one_place():
     """Hosts would open all their connections anew at each change of the list."""
-    before = {t.id for t in rank_targets(TARGETS, "h", "x").first(12)}
-    after = {t.id for t in rank_targets(TARGETS[1:], "h", "x").first(12)}
+    before = {t.id for t in order_targets(TARGETS, "h", "x").first(12)}
+    after = {t.id for t in order_targets(TARGETS[1:], "h", "x").first(12)}
     assert len(before - after) <= 1
     assert len(after - before) <= 1
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -32,7 +32,7 @@
     MIN_SUBSET_SCORE,
     MIN_TARGETS_FOR_SUBSET,
     EventRate,
-    rank_targets,
+    order_targets,
     subset_size,
 )
 from plumsaddle_core.ops.urgency import (
@@ -312,7 +312,7 @@
         if revision != self.registry.revision:
             settings = self.settings
             listed = self.registry.usable(service)
-            ranked = rank_targets(listed, settings.id, settings.centre)
+            ranked = order_targets(listed, settings.id, settings.centre)
             self._ranked[service] = (self.registry.revision, ranked)
         hosts = self.shared.live_host_count()
         subset = ranked.first(subset_size(len(ranked.near), hosts, rate))
