--- a/packages/plumsaddle-core/plumsaddle_core/limits/membership.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/membership.py
@@ -86,7 +86,7 @@
         """Note requests for a service that callers sent to this host."""
         _add(self._own_demand, service, count, now)
 
-    def note_reached(self, sent_at):
+    def note_delivered(self, sent_at):
         """Note that a message sent at a moment has reached the other hosts."""
         self._reached_at = max(self._reached_at, sent_at)
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/membership_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/membership_test.py
@@ -21,7 +21,7 @@
         for before in (JOIN_FOR, 3.0, 1.5):
             roster.note_host(host, at - before)
         roster.note_host(host, at)
-    roster.note_reached(at)
+    roster.note_delivered(at)
     return roster
 
 
@@ -56,7 +56,7 @@
         roster.note_host("b", 100.0 + second)
     assert roster.may_send(100.0 + LEASE - 0.5)
     assert not roster.may_send(100.0 + LEASE + 0.5)
-    roster.note_reached(115.0)
+    roster.note_delivered(115.0)
     assert roster.may_send(115.1)
 
 
@@ -65,7 +65,7 @@
     roster = Membership("a", 100.0)
     assert not roster.may_send(100.1)
     roster.note_host("b", 101.0)
-    roster.note_reached(101.2)
+    roster.note_delivered(101.2)
     assert not roster.may_send(101.0 + JOIN_FOR / 2)
     assert roster.may_send(101.0 + JOIN_FOR)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -227,7 +227,7 @@
         if self._picked_itself():
             if self._collected.clients(at):
                 # Its clients hear it directly.
-                self._shared.limits.membership.note_reached(at)
+                self._shared.limits.membership.note_delivered(at)
             if self._may_act_alone(at):
                 self._others.tell_load(at)
         elif not self._collected.clients(at):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -148,7 +148,7 @@
         sent_at = self._ways.echo_of(work)
         if sent_at is not None:
             self._peer_table.take_echo(sent_at, at)
-            self._shared.limits.membership.note_reached(sent_at)
+            self._shared.limits.membership.note_delivered(sent_at)
 
     def _take_beat(self, beat, address, at):
         self._peer_table.describe(address, beat.link, beat.contact)
--- a/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
@@ -298,7 +298,7 @@
                 self._push(at + delay, self._take, *args)
 
     def _note_reached(self, host, sent_at):
-        host.limits.membership.note_reached(sent_at)
+        host.limits.membership.note_delivered(sent_at)
 
     def _take(self, host, name, rows, counts, sent):
         if not host.is_up or host.number in self._cut:
