--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -152,7 +152,7 @@
         if workspace is None or workspace.rate <= 0:
             return ADMITTED
         tag = workspace_tag(workspace.name)
-        known = self._find(tag, now)
+        known = self._get_state(tag, now)
         if known is None:
             return ADMITTED
         known.meter.note_requested(1.0, now)
@@ -187,11 +187,11 @@
         if workspace is None or workspace.rate <= 0:
             return
         tag = workspace_tag(workspace.name)
-        known = self._find(tag, now)
+        known = self._get_state(tag, now)
         if known is not None:
             self._count(tag, known, 0.0, -1.0, now)
 
-    def _find(self, tag, now):
+    def _get_state(self, tag, now):
         """Return what is known of a workspace with a limit, or None."""
         known = self._known.get(tag)
         if known is None and tag in self._limits:
@@ -272,7 +272,7 @@
         """
         source = self._liveness.note_host(host, life, now)
         for row in rows:
-            known = self._find(row[0], now)
+            known = self._get_state(row[0], now)
             if known is not None:
                 asked, admitted = _merge_row(known, source, row, now)
                 self._count_near(row[0], known, asked, admitted, now)
@@ -289,7 +289,7 @@
         """
         source = self._liveness.note_centre(centre, hosts, now)
         for row in rows:
-            known = self._find(row[0], now)
+            known = self._get_state(row[0], now)
             if known is not None:
                 asked, admitted = _merge_row(known, source, row, now, is_partial=True)
                 known.far.add(asked, admitted, now)
--- a/packages/plumsaddle-standins/plumsaddle_standins/quota_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/quota_model.py
@@ -109,7 +109,7 @@
     """A host that lets through while the sum that it knows leaves room."""
 
     def ask(self, model):
-        known = self.quotas._find(workspace_tag(NAME), model.at)
+        known = self.quotas._get_state(workspace_tag(NAME), model.at)
         tag = workspace_tag(NAME)
         is_admitted = known.meter.remaining(model.at) >= 1.0
         self.quotas._count(tag, known, 1.0, float(is_admitted), model.at)
