--- a/packages/plumsaddle-core/plumsaddle_core/limits/membership.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/membership.py
@@ -8,7 +8,7 @@
 
 import math
 
-from .meter import Decayed
+from .meter import DecayingSum
 from .shares import HostDemand
 
 # Seconds without a message after which a host's share goes to the others.
@@ -122,7 +122,7 @@
 def _add(sums, service, count, now):
     total = sums.get(service)
     if total is None:
-        total = sums[service] = Decayed(DEMAND_FOR)
+        total = sums[service] = DecayingSum(DEMAND_FOR)
     total.add(count, now)
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/meter.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/meter.py
@@ -18,22 +18,22 @@
 # Demand is averaged over the time in which a limit allows this many requests, but over
 # so many seconds at least and at most. Over less, a workspace of a few requests a
 # second looks hot by chance; over more, one that turns hot overruns its limit.
-DEMAND_COUNT = 20.0
-DEMAND_LEAST = 0.5
-DEMAND_MOST = 2.0
+DEMAND_REQUESTS = 20.0
+MIN_DEMAND_WINDOW = 0.5
+MAX_DEMAND_WINDOW = 2.0
 # The part of a limit that must be left for everything to be let through. What others
 # have let through and this host has not heard of yet comes out of it.
-RESERVE = 0.3
+RESERVE_FRACTION = 0.3
 # The part of a limit that is not meant to be used, against the same error.
-MARGIN = 0.04
+MARGIN_FRACTION = 0.04
 # Seconds until a host hears what others have let through. What they let through in that
 # time is estimated from what they told just before.
-UNHEARD_FOR = 0.25
-HEARD_OVER = 0.5
+GOSSIP_DELAY = 0.25
+REPORTED_WINDOW = 0.5
 # Seconds over which what is left beyond that is let through.
-SPREAD_OVER = 0.5
+ADMISSION_HORIZON = 0.5
 # The window is counted in so many slots.
-SLOTS = 20
+WINDOW_SLOTS = 20
 
 
 class Tolerance(NamedTuple):
@@ -52,7 +52,7 @@
 # The part of the slack that a meter lets workspaces use: without it, one of few
 # requests that come in clumps is thinned although it keeps to its limit over any
 # window. All other tolerance covers what hosts do not know of each other.
-SLACK_USED = 0.3
+SLACK_FRACTION = 0.3
 
 
 def window_capacity(rate, burst, tolerance):
@@ -64,10 +64,10 @@
       burst: Requests on top.
       tolerance: The `Tolerance`.
     """
-    return rate * tolerance.window + burst + SLACK_USED * tolerance.slack
+    return rate * tolerance.window + burst + SLACK_FRACTION * tolerance.slack
 
 
-class Decayed:
+class DecayingSum:
     """A sum whose parts fade: of each, 1/e is left after `seconds`."""
 
     __slots__ = ("_at", "_seconds", "_value")
@@ -118,21 +118,21 @@
     def __init__(self, rate, capacity, window, since, now):
         self.rate = rate
         self.capacity = capacity
-        self._slot = window / SLOTS
+        self._slot_length = window / WINDOW_SLOTS
         # By number of slot what was let through in it, the oldest first.
         self._slots = {}
         self._used = 0.0
-        for number in range(self._number(now) - SLOTS, self._number(since)):
-            self._slots[number] = rate * self._slot
-            self._used += rate * self._slot
-        seconds = DEMAND_COUNT / rate if rate else DEMAND_MOST
-        self._demand_for = max(DEMAND_LEAST, min(DEMAND_MOST, seconds))
-        self._demand = Decayed(self._demand_for)
+        for number in range(self._number(now) - WINDOW_SLOTS, self._number(since)):
+            self._slots[number] = rate * self._slot_length
+            self._used += rate * self._slot_length
+        seconds = DEMAND_REQUESTS / rate if rate else MAX_DEMAND_WINDOW
+        self._demand_window = max(MIN_DEMAND_WINDOW, min(MAX_DEMAND_WINDOW, seconds))
+        self._demand = DecayingSum(self._demand_window)
         # What other hosts told that they let through.
-        self._heard = Decayed(HEARD_OVER)
+        self._reported = DecayingSum(REPORTED_WINDOW)
 
     def _number(self, now):
-        return int(now / self._slot)
+        return int(now / self._slot_length)
 
     def set_limit(self, rate, capacity):
         """
@@ -159,7 +159,7 @@
         self._slots[number] = self._slots.get(number, 0.0) + count
         self._used += count
 
-    def note_told(self, asked, admitted, is_known, now):
+    def note_reported(self, asked, admitted, is_known, now):
         """
         Take what another host told of its requests.
 
@@ -172,15 +172,15 @@
         """
         self.note_requested(asked, now)
         if is_known:
-            self._heard.add(admitted, now)
+            self._reported.add(admitted, now)
 
     def demand(self, now):
         """Return the requests a second that all hosts are asked."""
-        return self._demand.at(now) / self._demand_for
+        return self._demand.at(now) / self._demand_window
 
     def remaining(self, now):
         """Return how many more requests the window has room for."""
-        oldest = self._number(now) - SLOTS
+        oldest = self._number(now) - WINDOW_SLOTS
         while self._slots:
             number = next(iter(self._slots))
             if number >= oldest:
@@ -197,18 +197,20 @@
           demand: The requests a second that these are asked.
           now: The present, in seconds.
         """
-        heard = min(demand, self._heard.at(now) / HEARD_OVER)
-        left = self.remaining(now) - UNHEARD_FOR * max(0.0, heard)
+        heard = min(demand, self._reported.at(now) / REPORTED_WINDOW)
+        left = self.remaining(now) - GOSSIP_DELAY * max(0.0, heard)
         # Hosts that are not heard likely let through as much for their part.
-        if left >= RESERVE * self.capacity + 1.0 / part:
+        if left >= RESERVE_FRACTION * self.capacity + 1.0 / part:
             return 1.0
         if left < 1.0:
             return 0.0
-        freed = self._slots.get(self._number(now) - SLOTS, 0.0) / self._slot
-        goal = freed + (left - MARGIN * self.capacity) / SPREAD_OVER
+        freed = (
+            self._slots.get(self._number(now) - WINDOW_SLOTS, 0.0) / self._slot_length
+        )
+        goal = freed + (left - MARGIN_FRACTION * self.capacity) / ADMISSION_HORIZON
         return max(0.0, min(1.0, goal * part / demand)) if demand else 1.0
 
-    def pause(self, demand, spread, now):
+    def retry_after(self, demand, spread, now):
         """
         Return the seconds after which a refused request likely finds room.
 
@@ -220,13 +222,13 @@
           spread: A number from 0.0 to 1.0, drawn for the caller.
           now: The present, in seconds.
         """
-        missing = MARGIN * self.capacity + 1.0 - self.remaining(now)
+        missing = MARGIN_FRACTION * self.capacity + 1.0 - self.remaining(now)
         room_at = now
         for number, count in self._slots.items():
             if missing <= 0.0:
                 break
             missing -= count
-            room_at = (number + SLOTS + 1) * self._slot
-        window = self._slot * SLOTS
+            room_at = (number + WINDOW_SLOTS + 1) * self._slot_length
+        window = self._slot_length * WINDOW_SLOTS
         crowd = spread * demand * window / self.capacity
-        return min(window, room_at - now + max(self._slot, crowd))
+        return min(window, room_at - now + max(self._slot_length, crowd))
--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -20,9 +20,9 @@
 from collections import deque
 from typing import NamedTuple
 
-from .liveness import ISOLATED_AFTER, Liveness
+from .liveness import ISOLATION_TIMEOUT, Liveness
 from .meter import Meter, Tolerance, window_capacity
-from .sums import FADE, Sums, workspace_tag
+from .sums import DECAY_TIME, DecayingCounts, workspace_tag
 
 # The part of each limit that is dealt equally, so that a host which was asked nothing
 # before it was cut off may serve a little.
@@ -70,9 +70,9 @@
     def __init__(self, meter):
         self.meter = meter
         # Of this host, of all hosts of its data centre, and of the other data centres.
-        self.own = Sums()
-        self.near = Sums()
-        self.far = Sums()
+        self.own = DecayingCounts()
+        self.near = DecayingCounts()
+        self.far = DecayingCounts()
         # What this host and all hosts were asked, a look each second.
         self.looks = deque(maxlen=LOOKS_KEPT)
         # The part of the limit for the hosts that are heard, and of which revision.
@@ -81,8 +81,8 @@
 
     def look(self, now):
         """Keep what is asked by now."""
-        everyone = self.near.asked(now) + self.far.asked(now)
-        self.looks.append((self.own.asked(now), everyone))
+        everyone = self.near.requested(now) + self.far.requested(now)
+        self.looks.append((self.own.requested(now), everyone))
 
 
 class Quotas:
@@ -165,11 +165,11 @@
             return ADMITTED
         return QuotaDecision(
             False,
-            known.meter.pause(demand, self._rng.random(), now),
+            known.meter.retry_after(demand, self._rng.random(), now),
             round(known.meter.remaining(now), 1),
             round(demand, 1),
             round(part, 3),
-            self._liveness.count_missing(),
+            self._liveness.unreachable_host_count(),
         )
 
     def _demand(self, known, now):
@@ -179,7 +179,7 @@
         A host by itself sees few of them, so it takes the longer average.
         """
         if self._liveness.is_isolated:
-            return known.own.asked(now) / FADE
+            return known.own.requested(now) / DECAY_TIME
         return known.meter.demand(now)
 
     def release(self, workspace, now):
@@ -206,7 +206,7 @@
         for kept in (self._known, self._used_at, self._untold, self._far_untold):
             kept.pop(tag, None)
         for source in self._liveness.sources():
-            source.told.forget(tag)
+            source.received.evict(tag)
 
     def _count(self, tag, known, asked, admitted, now):
         """Count what this host was asked and let through."""
@@ -242,7 +242,7 @@
         return [known.near.row(tag, now) for tag, known in untold]
 
     def _is_near_limit(self, known, now):
-        demand = known.near.asked(now) / FADE
+        demand = known.near.requested(now) / DECAY_TIME
         return demand >= NEAR_LIMIT * known.meter.rate / self._centres
 
     def _take_untold(self, untold):
@@ -302,7 +302,7 @@
     def tick(self, now):
         """Look once a second at who is heard, and forget what is over."""
         self._liveness.tick(now)
-        if self._liveness.is_whole:
+        if self._liveness.is_fully_reachable:
             for known in self._known.values():
                 known.look(now)
         idle = [tag for tag, at in self._used_at.items() if now - at > FORGET_AFTER]
@@ -326,29 +326,30 @@
             return
         meter = known.meter
         demand = meter.demand(now)
-        let_through = demand * ISOLATED_AFTER
+        let_through = demand * ISOLATION_TIMEOUT
         if not self._liveness.is_isolated:
             # From then on they knew that they were by themselves.
-            by_themselves = max(0.0, self._liveness.unreachable_for - ISOLATED_AFTER)
+            by_themselves = max(0.0, self._liveness.detection_delay - ISOLATION_TIMEOUT)
             let_through += min(meter.rate, demand) * by_themselves
         meter.note_admitted(part * let_through, now)
 
     def _work_out_part(self, tag, known):
         liveness = self._liveness
-        if liveness.is_whole:
+        if liveness.is_fully_reachable:
             return 1.0
         own, everyone = known.looks[0] if known.looks else (0.0, 0.0)
-        hosts = liveness.count()
-        equal = EQUAL_PART * known.meter.rate * FADE / hosts
+        hosts = liveness.host_count()
+        equal = EQUAL_PART * known.meter.rate * DECAY_TIME / hosts
         whole = max(everyone, own) + equal * hosts
         if liveness.is_isolated:
             return (own + equal) / whole
         lost = sum(
-            source.told.asked(tag, source.heard_at) + equal * sum(source.hosts)
+            source.received.requested(tag, source.last_message_at)
+            + equal * sum(source.hosts)
             for source in liveness.unreachable()
         )
         # Of hosts elsewhere that are missing, only the number is told.
-        lost += whole * liveness.far_missing / hosts
+        lost += whole * liveness.remote_unreachable / hosts
         return max(own + equal, whole - lost) / whole
 
 
@@ -359,7 +360,7 @@
     Returns:
       What was asked and let through since the source's last row.
     """
-    is_known = row[0] in source.told
-    asked, admitted = source.told.take(row, source.back_at, now, is_partial)
-    known.meter.note_told(asked, admitted, is_known, now)
+    is_known = row[0] in source.received
+    asked, admitted = source.received.merge(row, source.recovered_at, now, is_partial)
+    known.meter.note_reported(asked, admitted, is_known, now)
     return asked, admitted
--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
@@ -8,8 +8,8 @@
 
 from ..core.traffic import Workspace
 from ..ops.shared_state import SharedState
-from .liveness import GONE_AFTER, HostCount
-from .meter import Decayed, Tolerance
+from .liveness import EVICTION_TIMEOUT, HostCount
+from .meter import DecayingSum, Tolerance
 from .quotas import FORGET_AFTER, Quotas
 
 EXACT = Tolerance(5.0, 0.0, 0.0)
@@ -45,7 +45,7 @@
 
 
 def test_a_sum_fades():
-    total = Decayed(5.0)
+    total = DecayingSum(5.0)
     total.add(2.0, 10.0)
     assert total.at(10.0) == 2.0
     assert total.at(15.0) == pytest.approx(2.0 / 2.718281828)
@@ -209,7 +209,7 @@
     for host in (first, second):
         host.tick(START + FORGET_AFTER + 1.0)
         assert not host.kept
-    assert not any(len(source.told) for source in second._liveness.sources())
+    assert not any(len(source.received) for source in second._liveness.sources())
 
 
 def _play_cut(asked, seconds, workspace=ONE):
@@ -263,7 +263,7 @@
             _ask(host, 1, now)
             _tell(host, f"host-{number}", [second if host is first else first], now)
         first.tick(now)
-    for second_ in range(int(GONE_AFTER) + 3):
+    for second_ in range(int(EVICTION_TIMEOUT) + 3):
         first.note_hub(now + second_)
         first.tick(now + second_)
     decision = [first.acquire(ONE, now + second_) for _ in range(100)][-1]
--- a/packages/plumsaddle-core/plumsaddle_core/limits/sums.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/sums.py
@@ -13,7 +13,7 @@
 
 # Seconds after which 1/e of a sum is left. What a message tells late is too small by
 # the part that has faded meanwhile, so it is long against the time a message takes.
-FADE = 5.0
+DECAY_TIME = 5.0
 # Sums are told in hundredths.
 SCALE = 100
 
@@ -26,7 +26,7 @@
     """
 
     tag: int
-    asked: int
+    requested: int
     admitted: int
 
 
@@ -41,44 +41,44 @@
     return zlib.crc32(data) << 8 | zlib.adler32(data) & 0xFF
 
 
-def fade(value, seconds):
+def decay(value, seconds):
     """Return what is left of a sum after some seconds."""
-    return value * math.exp(-max(0.0, seconds) / FADE)
+    return value * math.exp(-max(0.0, seconds) / DECAY_TIME)
 
 
-class Sums:
+class DecayingCounts:
     """What was asked and let through of a workspace."""
 
     __slots__ = ("_admitted", "_asked", "_at")
 
     def __init__(self):
-        self._asked = self._admitted = self._at = 0.0
+        self._requested = self._admitted = self._at = 0.0
 
     def add(self, asked, admitted, now):
         """Count requests that were asked and let through."""
-        kept = fade(1.0, now - self._at)
-        self._asked = self._asked * kept + asked
+        kept = decay(1.0, now - self._at)
+        self._requested = self._requested * kept + asked
         self._admitted = self._admitted * kept + admitted
         self._at = now
 
-    def asked(self, now):
+    def requested(self, now):
         """Return what is left of the sum of what was asked."""
-        return fade(self._asked, now - self._at)
+        return decay(self._requested, now - self._at)
 
     def row(self, tag, now):
         """Return both sums as a `QuotaRow`."""
-        kept = SCALE * fade(1.0, now - self._at)
-        asked, admitted = round(kept * self._asked), round(kept * self._admitted)
+        kept = SCALE * decay(1.0, now - self._at)
+        asked, admitted = round(kept * self._requested), round(kept * self._admitted)
         return QuotaRow(tag, max(0, asked), max(0, admitted))
 
 
-class ToldSums:
+class ReceivedSums:
     """What one source has told, by tag of workspace."""
 
     def __init__(self):
         self._rows = {}
 
-    def take(self, row, back_at, now, is_partial=False):
+    def merge(self, row, back_at, now, is_partial=False):
         """
         Return what was asked and let through since the source's last row.
 
@@ -95,22 +95,22 @@
         tag, asked, admitted = row[0], row[1] / SCALE, row[2] / SCALE
         former = self._rows.get(tag, (0.0, 0.0, -math.inf))
         former_asked, former_admitted, at = former
-        if at < back_at and now - back_at < FADE:
+        if at < back_at and now - back_at < DECAY_TIME:
             self._rows[tag] = (asked, admitted, now)
             return 0.0, 0.0
-        former_asked = fade(former_asked, now - at)
-        former_admitted = fade(former_admitted, now - at)
+        former_asked = decay(former_asked, now - at)
+        former_admitted = decay(former_admitted, now - at)
         if is_partial:
             asked, admitted = max(asked, former_asked), max(admitted, former_admitted)
         self._rows[tag] = (asked, admitted, now)
         return max(0.0, asked - former_asked), admitted - former_admitted
 
-    def asked(self, tag, now):
+    def requested(self, tag, now):
         """Return the sum of what the source was asked, as of a moment."""
         asked, _, at = self._rows.get(tag, (0.0, 0.0, now))
-        return fade(asked, now - at)
+        return decay(asked, now - at)
 
-    def forget(self, tag):
+    def evict(self, tag):
         """Forget a workspace."""
         self._rows.pop(tag, None)
 
