--- a/packages/plumsaddle-core/plumsaddle_core/limits/advertised.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/advertised.py
@@ -23,7 +23,7 @@
 # Entries of one message at most; the others follow with the next one.
 MAX_ROWS = 40
 # Seconds after which the entry of an incarnation that is no longer listed is dropped.
-UNLISTED_FOR = 60.0
+UNLISTED_TIMEOUT = 60.0
 
 
 class LimitRow(NamedTuple):
@@ -61,10 +61,10 @@
         self.revision = 0
         self._entries = {}
         self._limited = {}
-        self._near_pending = {}
-        self._far_pending = {}
+        self._local_pending = {}
+        self._remote_pending = {}
         # Since when incarnations with an entry have not been listed.
-        self._unlisted = {}
+        self._unlisted_since = {}
 
     def __len__(self):
         return len(self._limited)
@@ -97,11 +97,11 @@
         if _is_stricter(known, named) and sent_at < entry.known_at:
             return False
         version = 1 if entry is None else entry.version + 1
-        self._set(LimitRow(life, version, named), now)
-        self._near_pending[life] = self._far_pending[life] = SENDS_PER_CHANGE
+        self._apply(LimitRow(life, version, named), now)
+        self._local_pending[life] = self._remote_pending[life] = SENDS_PER_CHANGE
         return True
 
-    def merge(self, row, is_near, now):
+    def merge(self, row, is_local, now):
         """
         Take an entry that another host told.
 
@@ -120,15 +120,15 @@
                 return False
             if not is_same or _is_stricter(entry.rate, row.rate):
                 # The sender has missed an entry: repair it.
-                pending = self._near_pending if is_near else self._far_pending
+                pending = self._local_pending if is_local else self._remote_pending
                 pending[row.life] = SENDS_PER_CHANGE
                 return False
-        self._set(row, now)
-        if is_near:
-            self._far_pending[row.life] = SENDS_PER_CHANGE
+        self._apply(row, now)
+        if is_local:
+            self._remote_pending[row.life] = SENDS_PER_CHANGE
         return True
 
-    def _set(self, row, now):
+    def _apply(self, row, now):
         entry = self._entries.get(row.life)
         if entry is None:
             entry = self._entries[row.life] = _Entry()
@@ -145,17 +145,17 @@
     @property
     def has_remote_pending(self):
         """Whether other data centres have not been told of some change."""
-        return bool(self._far_pending)
+        return bool(self._remote_pending)
 
     def local_rows(self):
         """Return the `LimitRow`s for a message to the hosts of the data centre."""
-        return self._take(self._near_pending)
+        return self._take_pending(self._local_pending)
 
     def remote_rows(self):
         """Return the `LimitRow`s for a message to other data centres."""
-        return self._take(self._far_pending)
+        return self._take_pending(self._remote_pending)
 
-    def anti_entropy_rows(self, most, rng):
+    def anti_entropy_rows(self, max_rows, rng):
         """
         Return some of all entries, drawn anew each time.
 
@@ -166,11 +166,11 @@
           rng: A `random.Random`.
         """
         lives = list(self._entries)
-        if len(lives) > most:
-            lives = rng.sample(lives, most)
+        if len(lives) > max_rows:
+            lives = rng.sample(lives, max_rows)
         return [self._row(life) for life in lives]
 
-    def _take(self, pending):
+    def _take_pending(self, pending):
         lives = list(pending)[:MAX_ROWS]
         for life in lives:
             pending[life] -= 1
@@ -190,15 +190,15 @@
         these still have their limits when they are listed again.
         """
         unlisted = self._entries.keys() - listed
-        since = {life: self._unlisted.get(life, now) for life in unlisted}
-        gone = [life for life, at in since.items() if now - at >= UNLISTED_FOR]
+        since = {life: self._unlisted_since.get(life, now) for life in unlisted}
+        gone = [life for life, at in since.items() if now - at >= UNLISTED_TIMEOUT]
         for life in gone:
             del since[life]
             del self._entries[life]
-            for kept in (self._limited, self._near_pending, self._far_pending):
+            for kept in (self._limited, self._local_pending, self._remote_pending):
                 kept.pop(life, None)
             self.revision += 1
-        self._unlisted = since
+        self._unlisted_since = since
 
 
 def _is_stricter(rate, other):
--- a/packages/plumsaddle-core/plumsaddle_core/limits/advertised_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/advertised_test.py
@@ -6,7 +6,7 @@
 
 from hypothesis import given, strategies as st
 
-from .advertised import MAX_ROWS, NO_LIMIT, UNLISTED_FOR, AdvertisedLimits, LimitRow
+from .advertised import MAX_ROWS, NO_LIMIT, UNLISTED_TIMEOUT, AdvertisedLimits, LimitRow
 
 
 def _exchange(hosts, now):
@@ -71,7 +71,7 @@
     limits.observe("t~1", 2.0, sent_at=0.0, now=1.0)
     assert limits.rate("t~2") is None
     limits.evict({"t~2"}, 10.0)
-    limits.evict({"t~2"}, 10.0 + UNLISTED_FOR)
+    limits.evict({"t~2"}, 10.0 + UNLISTED_TIMEOUT)
     assert not limits
     assert not limits.local_rows()
     assert not limits.anti_entropy_rows(MAX_ROWS, random)
--- a/packages/plumsaddle-core/plumsaddle_core/limits/bucket.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/bucket.py
@@ -16,35 +16,35 @@
       now: The present, in seconds.
     """
 
-    __slots__ = ("_at", "_tokens", "capacity", "rate")
+    __slots__ = ("_tokens", "_updated_at", "capacity", "rate")
 
     def __init__(self, rate, capacity, now):
         self.rate = rate
         self.capacity = capacity
         self._tokens = 0.0
-        self._at = now
+        self._updated_at = now
 
     def tokens(self, now):
         """Return how many tokens there are."""
-        accrued = self.rate * max(0.0, now - self._at)
+        accrued = self.rate * max(0.0, now - self._updated_at)
         return min(self.capacity, self._tokens + accrued)
 
     def set_rate(self, rate, capacity, now):
         """Change the rate and the capacity; tokens that fit are kept."""
         self._tokens = min(capacity, self.tokens(now))
-        self._at = now
+        self._updated_at = now
         self.rate = rate
         self.capacity = capacity
 
     def acquire(self, now):
         """Take a token, or reserve the next one that accrues."""
         self._tokens = self.tokens(now) - 1.0
-        self._at = now
+        self._updated_at = now
 
     def release(self, now):
         """Put back a token that was not used."""
         self._tokens = min(self.capacity, self.tokens(now) + 1.0)
-        self._at = now
+        self._updated_at = now
 
     def wait(self, now):
         """Return the seconds until there is a token that is not reserved."""
--- a/packages/plumsaddle-core/plumsaddle_core/limits/liveness.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/liveness.py
@@ -41,13 +41,13 @@
     """One other host of the data centre, or one other data centre."""
 
     __slots__ = (
-        "back_at",
-        "heard_at",
         "hosts",
-        "interval",
         "is_unreachable",
+        "last_message_at",
         "life",
-        "told",
+        "mean_interval",
+        "received",
+        "recovered_at",
     )
 
     def __init__(self, life, hosts, now):
--- a/packages/plumsaddle-core/plumsaddle_core/limits/meter.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/meter.py
@@ -106,9 +106,9 @@
 
     __slots__ = (
         "_demand",
-        "_demand_for",
-        "_heard",
-        "_slot",
+        "_demand_window",
+        "_reported",
+        "_slot_length",
         "_slots",
         "_used",
         "capacity",
--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -26,20 +26,20 @@
 
 # The part of each limit that is dealt equally, so that a host which was asked nothing
 # before it was cut off may serve a little.
-EQUAL_PART = 0.1
+EQUAL_FRACTION = 0.1
 # Looks, one a second, at what was asked that are kept. The oldest is from before any
 # silence that has just been noticed.
-LOOKS_KEPT = 3
+MAX_SAMPLES = 3
 # Messages with which a row goes out: datagrams are lost now and then.
-TOLD_TIMES = 2
+SENDS_PER_CHANGE = 2
 # A data centre speaks to the others of a workspace whose demand here is at least this
 # part of its rate, divided among the data centres.
-NEAR_LIMIT = 0.2
+NEAR_LIMIT_FRACTION = 0.2
 # Rows of a message at most. Those that are left out go with the next one.
-ROWS_MOST = 200
+MAX_ROWS = 200
 # A workspace that has asked nothing for this long (seconds) is forgotten: its window is
 # over, and what was told of it has faded.
-FORGET_AFTER = 15.0
+IDLE_TIMEOUT = 15.0
 
 
 class QuotaDecision(NamedTuple):
@@ -62,27 +62,35 @@
 ADMITTED = QuotaDecision(True)
 
 
-class _Known:
+class _WorkspaceState:
     """What is known of one workspace: its meter and the sums that are told of it."""
 
-    __slots__ = ("far", "looks", "meter", "near", "own", "part", "revision")
+    __slots__ = (
+        "liveness_revision",
+        "local",
+        "meter",
+        "own",
+        "reachable_share",
+        "remote",
+        "samples",
+    )
 
     def __init__(self, meter):
         self.meter = meter
         # Of this host, of all hosts of its data centre, and of the other data centres.
         self.own = DecayingCounts()
-        self.near = DecayingCounts()
-        self.far = DecayingCounts()
+        self.local = DecayingCounts()
+        self.remote = DecayingCounts()
         # What this host and all hosts were asked, a look each second.
-        self.looks = deque(maxlen=LOOKS_KEPT)
+        self.samples = deque(maxlen=MAX_SAMPLES)
         # The part of the limit for the hosts that are heard, and of which revision.
-        self.part = 1.0
-        self.revision = 0
+        self.reachable_share = 1.0
+        self.liveness_revision = 0
 
-    def look(self, now):
+    def add_sample(self, now):
         """Keep what is asked by now."""
-        everyone = self.near.requested(now) + self.far.requested(now)
-        self.looks.append((self.own.requested(now), everyone))
+        everyone = self.local.requested(now) + self.remote.requested(now)
+        self.samples.append((self.own.requested(now), everyone))
 
 
 class Quotas:
@@ -99,12 +107,12 @@
         self._tolerance = tolerance or Tolerance()
         self._centres = max(1, centres)
         self._rng = rng
-        self._started = None
+        self._started_at = None
         self._limits = {}
-        self._known = {}
-        self._used_at = {}
-        self._untold = {}
-        self._far_untold = {}
+        self._states = {}
+        self._last_used_at = {}
+        self._local_pending = {}
+        self._remote_pending = {}
         self._liveness = Liveness()
 
     def configure(self, workspaces, now):
@@ -115,16 +123,16 @@
           workspaces: The `Workspace` tuples.
           now: The present, in seconds.
         """
-        if self._started is None:
-            self._started = now
+        if self._started_at is None:
+            self._started_at = now
         self._limits = {
             workspace_tag(workspace.name): workspace
             for workspace in workspaces
             if workspace.rate > 0
         }
-        for tag in self._known.keys() - self._limits.keys():
-            self._forget(tag)
-        for tag, known in self._known.items():
+        for tag in self._states.keys() - self._limits.keys():
+            self._evict(tag)
+        for tag, known in self._states.items():
             known.meter.set_limit(*self._limit_of(tag))
 
     def _limit_of(self, tag):
@@ -133,9 +141,9 @@
         return rate, window_capacity(rate, burst, self._tolerance)
 
     @property
-    def kept(self):
+    def workspace_count(self):
         """Of how many workspaces something is kept."""
-        return len(self._known)
+        return len(self._states)
 
     # This host's own requests.
 
@@ -156,7 +164,7 @@
         if known is None:
             return ADMITTED
         known.meter.note_requested(1.0, now)
-        part = self._part(tag, known, now)
+        part = self._reachable_share(tag, known, now)
         demand = self._demand(known, now)
         chance = known.meter.admission_probability(part, demand, now)
         is_admitted = chance >= 1.0 or self._rng.random() < chance
@@ -193,17 +201,22 @@
 
     def _get_state(self, tag, now):
         """Return what is known of a workspace with a limit, or None."""
-        known = self._known.get(tag)
+        known = self._states.get(tag)
         if known is None and tag in self._limits:
             window = self._tolerance.window
-            meter = Meter(*self._limit_of(tag), window, self._started, now)
-            known = self._known[tag] = _Known(meter)
+            meter = Meter(*self._limit_of(tag), window, self._started_at, now)
+            known = self._states[tag] = _WorkspaceState(meter)
         if known is not None:
-            self._used_at[tag] = now
+            self._last_used_at[tag] = now
         return known
 
-    def _forget(self, tag):
-        for kept in (self._known, self._used_at, self._untold, self._far_untold):
+    def _evict(self, tag):
+        for kept in (
+            self._states,
+            self._last_used_at,
+            self._local_pending,
+            self._remote_pending,
+        ):
             kept.pop(tag, None)
         for source in self._liveness.sources():
             source.received.evict(tag)
@@ -211,48 +224,50 @@
     def _count(self, tag, known, asked, admitted, now):
         """Count what this host was asked and let through."""
         known.own.add(asked, admitted, now)
-        self._untold[tag] = TOLD_TIMES
-        self._count_near(tag, known, asked, admitted, now)
+        self._local_pending[tag] = SENDS_PER_CHANGE
+        self._count_local(tag, known, asked, admitted, now)
 
-    def _count_near(self, tag, known, asked, admitted, now):
+    def _count_local(self, tag, known, asked, admitted, now):
         """Count what a host of this data centre was asked and let through."""
-        known.near.add(asked, admitted, now)
-        self._far_untold[tag] = TOLD_TIMES
+        known.local.add(asked, admitted, now)
+        self._remote_pending[tag] = SENDS_PER_CHANGE
         self._note_admitted(tag, known, admitted, now)
 
     def _note_admitted(self, tag, known, admitted, now):
         """Count what some host let through against the limit."""
         if admitted:
             # Hosts that are not heard likely let through as much for their part.
-            known.meter.note_admitted(admitted / self._part(tag, known, now), now)
+            known.meter.note_admitted(
+                admitted / self._reachable_share(tag, known, now), now
+            )
 
     # What is told.
 
     def local_rows(self, now):
         """Return the `QuotaRow`s for a message to the hosts of the data centre."""
-        untold = self._take_untold(self._untold)
+        untold = self._take_pending(self._local_pending)
         return [known.own.row(tag, now) for tag, known in untold]
 
     def remote_rows(self, now):
         """Return the `QuotaRow`s for a message to the other data centres."""
-        for tag in list(self._far_untold):
-            if not self._is_near_limit(self._known[tag], now):
-                del self._far_untold[tag]
-        untold = self._take_untold(self._far_untold)
-        return [known.near.row(tag, now) for tag, known in untold]
+        for tag in list(self._remote_pending):
+            if not self._is_near_limit(self._states[tag], now):
+                del self._remote_pending[tag]
+        untold = self._take_pending(self._remote_pending)
+        return [known.local.row(tag, now) for tag, known in untold]
 
     def _is_near_limit(self, known, now):
-        demand = known.near.requested(now) / DECAY_TIME
-        return demand >= NEAR_LIMIT * known.meter.rate / self._centres
+        demand = known.local.requested(now) / DECAY_TIME
+        return demand >= NEAR_LIMIT_FRACTION * known.meter.rate / self._centres
 
-    def _take_untold(self, untold):
+    def _take_pending(self, untold):
         """Return the tags that are to be told, with what is known of them."""
-        tags = list(untold)[:ROWS_MOST]
+        tags = list(untold)[:MAX_ROWS]
         for tag in tags:
             untold[tag] -= 1
             if not untold[tag]:
                 del untold[tag]
-        return [(tag, self._known[tag]) for tag in tags]
+        return [(tag, self._states[tag]) for tag in tags]
 
     def local_hosts(self):
         """Return the `HostCount` of this host's data centre, which others are told."""
@@ -275,7 +290,7 @@
             known = self._get_state(row[0], now)
             if known is not None:
                 asked, admitted = _merge_row(known, source, row, now)
-                self._count_near(row[0], known, asked, admitted, now)
+                self._count_local(row[0], known, asked, admitted, now)
 
     def merge_remote(self, centre, hosts, rows, now):
         """
@@ -292,7 +307,7 @@
             known = self._get_state(row[0], now)
             if known is not None:
                 asked, admitted = _merge_row(known, source, row, now, is_partial=True)
-                known.far.add(asked, admitted, now)
+                known.remote.add(asked, admitted, now)
                 self._note_admitted(row[0], known, admitted, now)
 
     def note_hub(self, now):
@@ -303,24 +318,29 @@
         """Look once a second at who is heard, and forget what is over."""
         self._liveness.tick(now)
         if self._liveness.is_fully_reachable:
-            for known in self._known.values():
-                known.look(now)
-        idle = [tag for tag, at in self._used_at.items() if now - at > FORGET_AFTER]
+            for known in self._states.values():
+                known.add_sample(now)
+        idle = [
+            tag for tag, at in self._last_used_at.items() if now - at > IDLE_TIMEOUT
+        ]
         for tag in idle:
-            self._forget(tag)
+            self._evict(tag)
 
     # Whose part of a limit is whose.
 
-    def _part(self, tag, known, now):
+    def _reachable_share(self, tag, known, now):
         """Return the part of a limit that belongs to the hosts that are heard."""
         self._liveness.check(now)
-        if known.revision != self._liveness.revision:
-            known.revision = self._liveness.revision
-            former, known.part = known.part, self._work_out_part(tag, known)
-            self._count_missed(known, former - known.part, now)
-        return known.part
-
-    def _count_missed(self, known, part, now):
+        if known.liveness_revision != self._liveness.revision:
+            known.liveness_revision = self._liveness.revision
+            former, known.reachable_share = (
+                known.reachable_share,
+                self._compute_reachable_share(tag, known),
+            )
+            self._count_unreported(known, former - known.reachable_share, now)
+        return known.reachable_share
+
+    def _count_unreported(self, known, part, now):
         """Count what hosts with a part let through before they were missed."""
         if part <= 0.0:
             return
@@ -333,13 +353,13 @@
             let_through += min(meter.rate, demand) * by_themselves
         meter.note_admitted(part * let_through, now)
 
-    def _work_out_part(self, tag, known):
+    def _compute_reachable_share(self, tag, known):
         liveness = self._liveness
         if liveness.is_fully_reachable:
             return 1.0
-        own, everyone = known.looks[0] if known.looks else (0.0, 0.0)
+        own, everyone = known.samples[0] if known.samples else (0.0, 0.0)
         hosts = liveness.host_count()
-        equal = EQUAL_PART * known.meter.rate * DECAY_TIME / hosts
+        equal = EQUAL_FRACTION * known.meter.rate * DECAY_TIME / hosts
         whole = max(everyone, own) + equal * hosts
         if liveness.is_isolated:
             return (own + equal) / whole
--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
@@ -10,7 +10,7 @@
 from ..ops.shared_state import SharedState
 from .liveness import EVICTION_TIMEOUT, HostCount
 from .meter import DecayingSum, Tolerance
-from .quotas import FORGET_AFTER, Quotas
+from .quotas import IDLE_TIMEOUT, Quotas
 
 EXACT = Tolerance(5.0, 0.0, 0.0)
 ONE = Workspace("one", (), rate=20.0, burst=20.0)
@@ -56,7 +56,7 @@
     (host,) = _hosts(1, (FREE,))
     assert _ask(host, 5000, START, FREE) == 5000
     assert _ask(host, 5, START, None) == 5
-    assert not host.kept
+    assert not host.workspace_count
     assert host.local_rows(START) == []
 
 
@@ -141,7 +141,7 @@
     _ask(less, 4, START)
     for _ in range(20):
         for speaker in (more, less):
-            speaker._far_untold = dict.fromkeys(speaker._known, 1)
+            speaker._remote_pending = dict.fromkeys(speaker._states, 1)
             rows = speaker.remote_rows(START)
             here.merge_remote("y", HostCount(2), rows, START)
     assert _ask(here, 50, START) >= 5
@@ -197,7 +197,7 @@
     (host,) = _hosts(1)
     host.acquire(ONE, START)
     host.configure([], START)
-    assert not host.kept
+    assert not host.workspace_count
     assert host.acquire(ONE, START).is_admitted
 
 
@@ -207,8 +207,8 @@
     first.acquire(ONE, START)
     _tell(first, "host-0", [second], START)
     for host in (first, second):
-        host.tick(START + FORGET_AFTER + 1.0)
-        assert not host.kept
+        host.tick(START + IDLE_TIMEOUT + 1.0)
+        assert not host.workspace_count
     assert not any(len(source.received) for source in second._liveness.sources())
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/shares.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/shares.py
@@ -19,13 +19,13 @@
 
 # Seconds of the limits that allow for one request of each host that takes part.
 # Each of them may hold a token, so it bounds the burst.
-SPACING = 1.0
+REQUEST_INTERVAL = 1.0
 # Hosts that take part however low the limits are: one alone seldom receives as many
 # requests as a limit allows.
-HOSTS_LEAST = 4
+MIN_HOSTS = 4
 # The part of the demand that counts as spread equally, so that a host whose callers
 # have just come has a share.
-EQUAL_PART = 0.1
+EQUAL_FRACTION = 0.1
 
 
 class HostDemand(NamedTuple):
@@ -42,7 +42,7 @@
     rate: float
 
 
-def share_out(targets, hosts, own):
+def compute_shares(targets, hosts, own):
     """
     Return the shares of one host.
 
@@ -55,7 +55,7 @@
       which it may send none.
     """
     total = sum(target.rate for target in targets)
-    weights = _pick_hosts(hosts, total)
+    weights = _select_hosts(hosts, total)
     if own not in weights:
         return {}
     start, end = _find_span(weights, own, total)
@@ -69,12 +69,12 @@
     return shares
 
 
-def _pick_hosts(hosts, total):
+def _select_hosts(hosts, total):
     """Return the weights of the hosts that take part, by id."""
     mean = sum(demand for _, demand in hosts) / len(hosts)
-    equal = EQUAL_PART * mean if mean else 1.0
+    equal = EQUAL_FRACTION * mean if mean else 1.0
     weights = {host: demand + equal for host, demand in hosts}
-    most = max(HOSTS_LEAST, int(total * SPACING))
+    most = max(MIN_HOSTS, int(total * REQUEST_INTERVAL))
     if len(weights) <= most:
         return weights
     picked = sorted(weights, key=lambda host: _score(host, weights[host]))[:most]
--- a/packages/plumsaddle-core/plumsaddle_core/limits/shares_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/shares_test.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import given, strategies as st
 
-from .shares import HOSTS_LEAST, HostDemand, LimitedTarget, share_out
+from .shares import MIN_HOSTS, HostDemand, LimitedTarget, compute_shares
 
 
 def _hosts(count, demand=1.0):
@@ -17,7 +17,7 @@
 
 
 def _all_shares(targets, hosts):
-    return {host: share_out(targets, hosts, host) for host, _ in hosts}
+    return {host: compute_shares(targets, hosts, host) for host, _ in hosts}
 
 
 @given(
@@ -42,7 +42,7 @@
     shares = _all_shares(_targets(count, rate), _hosts(hosts)).values()
     for life, _ in _targets(count, rate):
         senders = sum(1 for share in shares if life in share)
-        assert senders <= max(HOSTS_LEAST, rate) + 2
+        assert senders <= max(MIN_HOSTS, rate) + 2
 
 
 def test_each_host_has_a_share_while_the_limits_allow_it():
@@ -64,8 +64,8 @@
     hosts = _hosts(14, 3.0)
     changed = [HostDemand(h, d + 0.1 * (n % 3)) for n, (h, d) in enumerate(hosts)]
     for host, _ in hosts:
-        before = share_out(_targets(5, 4.0), hosts, host)
-        after = share_out(_targets(5, 4.0), changed, host)
+        before = compute_shares(_targets(5, 4.0), hosts, host)
+        after = compute_shares(_targets(5, 4.0), changed, host)
         lives = before.keys() | after.keys()
         moved = sum(abs(before.get(x, 0.0) - after.get(x, 0.0)) for x in lives)
         assert moved < 0.5 * 20.0 / 14
--- a/packages/plumsaddle-core/plumsaddle_core/limits/sums.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/sums.py
@@ -49,7 +49,7 @@
 class DecayingCounts:
     """What was asked and let through of a workspace."""
 
-    __slots__ = ("_admitted", "_asked", "_at")
+    __slots__ = ("_admitted", "_at", "_requested")
 
     def __init__(self):
         self._requested = self._admitted = self._at = 0.0
--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
@@ -13,33 +13,33 @@
 
 from .advertised import AdvertisedLimits
 from .bucket import TokenBucket
-from .shares import LimitedTarget, share_out
+from .shares import LimitedTarget, compute_shares
 
 # Requests a second that a target is sent at least over all hosts.
-RATE_LEAST = 0.2
+MIN_RATE = 0.2
 # Seconds between two looks at the demand that shares follow.
-SHARES_EVERY = 1.0
+SHARES_INTERVAL = 1.0
 # Tokens of a bucket at least, and the seconds of a share that it holds.
-CAPACITY_LEAST = 1.0
-CAPACITY_FOR = 0.5
+MIN_CAPACITY = 1.0
+CAPACITY_SECONDS = 0.5
 # The most seconds that the most urgent request waits for a token, and the most of the
 # time that its objective leaves beside its work. The least urgent one does not wait.
-WAIT_MOST = 1.0
-WAIT_PART = 0.5
+MAX_WAIT = 1.0
+MAX_WAIT_FRACTION = 0.5
 # The longest time after which a refused caller is told to return, in seconds.
-RETRY_AFTER_MOST = 10.0
+MAX_RETRY_AFTER = 10.0
 
 
-class _Service:
+class _ServiceLimits:
     """The limited targets of a service, and this host's buckets."""
 
-    __slots__ = ("buckets", "key", "total")
+    __slots__ = ("buckets", "key", "total_rate")
 
     def __init__(self):
         self.key = None
         self.buckets = {}
         # Requests a second that all limited targets near by take.
-        self.total = 0.0
+        self.total_rate = 0.0
 
 
 class TargetLimits:
@@ -73,7 +73,7 @@
         named = self.advertised
         if not any(named.rate(target.incarnation) is not None for target in targets):
             return targets
-        buckets = self._service(targets, centre, revision, now).buckets
+        buckets = self._refresh_service(targets, centre, revision, now).buckets
         return [
             target
             for target in targets
@@ -112,42 +112,42 @@
 
         Args: as for `admits`.
         """
-        service = self._service(targets, centre, revision, now)
+        service = self._refresh_service(targets, centre, revision, now)
         waits = [bucket.wait(now) for bucket in service.buckets.values()]
-        rate = max(service.total, RATE_LEAST)
+        rate = max(service.total_rate, MIN_RATE)
         demands = self.membership.demands(targets[0].service, now)
         excess = sum(host.demand for host in demands) / rate
         wait = min(waits, default=1.0 / rate) + excess * self._rng.random()
-        return min(RETRY_AFTER_MOST, wait)
+        return min(MAX_RETRY_AFTER, wait)
 
     def _bucket(self, target):
         service = self._services.get(target.service)
         return service.buckets.get(target.incarnation) if service is not None else None
 
-    def _service(self, targets, centre, revision, now):
+    def _refresh_service(self, targets, centre, revision, now):
         """Return the `_Service` of targets, its shares brought up to date."""
         name = targets[0].service
         service = self._services.get(name)
         if service is None:
-            service = self._services[name] = _Service()
+            service = self._services[name] = _ServiceLimits()
         may_send = self.membership.may_send(now)
-        key = (self.advertised.revision, revision, int(now / SHARES_EVERY), may_send)
+        key = (self.advertised.revision, revision, int(now / SHARES_INTERVAL), may_send)
         if service.key != key:
             service.key = key
             limited = [
                 LimitedTarget(
-                    t.incarnation, max(RATE_LEAST, self.advertised.rate(t.incarnation))
+                    t.incarnation, max(MIN_RATE, self.advertised.rate(t.incarnation))
                 )
                 for t in targets
                 if t.centre == centre
                 and self.advertised.rate(t.incarnation) is not None
             ]
-            service.total = sum(target.rate for target in limited)
+            service.total_rate = sum(target.rate for target in limited)
             shares = {}
             if limited and may_send:
                 demands = self.membership.demands(name, now)
-                shares = share_out(limited, demands, self.membership.own)
-            service.buckets = _pour(service.buckets, shares, now)
+                shares = compute_shares(limited, demands, self.membership.own)
+            service.buckets = _update_buckets(service.buckets, shares, now)
         return service
 
 
@@ -160,14 +160,14 @@
       urgency: How urgent it is for its service, from 0.0 to 1.0.
     """
     spare = max(0.0, demand.objective_left - demand.typical_duration)
-    return urgency * min(WAIT_MOST, WAIT_PART * spare)
+    return urgency * min(MAX_WAIT, MAX_WAIT_FRACTION * spare)
 
 
-def _pour(buckets, shares, now):
+def _update_buckets(buckets, shares, now):
     """Return the buckets of new shares; those that go on keep their tokens."""
     poured = {}
     for life, rate in shares.items():
-        capacity = max(CAPACITY_LEAST, CAPACITY_FOR * rate)
+        capacity = max(MIN_CAPACITY, CAPACITY_SECONDS * rate)
         bucket = buckets.get(life)
         if bucket is None:
             bucket = TokenBucket(rate, capacity, now)
--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
@@ -10,9 +10,9 @@
 from ..ops.choice import RequestProfile
 from .membership import Membership
 from .targets import (
-    RATE_LEAST,
-    RETRY_AFTER_MOST,
-    WAIT_MOST,
+    MAX_RETRY_AFTER,
+    MAX_WAIT,
+    MIN_RATE,
     TargetLimits,
     max_token_wait,
 )
@@ -65,7 +65,7 @@
     limits, targets = _sole(), [_target(1)]
     _name(limits, rate, targets)
     sent = _sends(limits, targets, 61.0, every=0.05)
-    assert len(sent) == pytest.approx(RATE_LEAST * 60, abs=1.0)
+    assert len(sent) == pytest.approx(MIN_RATE * 60, abs=1.0)
 
 
 def test_hosts_of_other_data_centres_leave_a_limited_target_out():
@@ -105,7 +105,7 @@
     assert max_token_wait(demand, 0.5) == 0.25
     assert max_token_wait(demand, 0.0) == 0.0
     assert max_token_wait(demand._replace(objective_left=0.3), 1.0) == 0.0
-    assert max_token_wait(demand._replace(objective_left=30.0), 1.0) == WAIT_MOST
+    assert max_token_wait(demand._replace(objective_left=30.0), 1.0) == MAX_WAIT
 
 
 def test_refused_callers_are_told_different_times():
@@ -114,7 +114,7 @@
     _name(limits, 1.0, targets)
     limits.membership.note_own_demand("look", 25, 1.0)
     waits = [limits.retry_after(targets, "x", 1, 1.0) for _ in range(20)]
-    assert all(1.0 <= wait <= RETRY_AFTER_MOST for wait in waits)
+    assert all(1.0 <= wait <= MAX_RETRY_AFTER for wait in waits)
     assert max(waits) - min(waits) > 2.0
 
 
