--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -118,7 +118,7 @@
           record: The `RunRecord`.
           now: When the incarnation crashed or answered, in seconds.
           is_own: Whether this host observed it.
-          is_near: Whether a host of this data centre observed it.
+          is_local: Whether a host of this data centre observed it.
         Returns:
           Whether it was new and was kept.
         """
@@ -212,7 +212,7 @@
     def local_records(self, now):
         """Return the data centre's recent `RunRecord`s, to send to the others."""
         recent = self._prune_recent(now - GOSSIP_WINDOW)
-        return [record for _, record, _, is_near in recent if is_near][-MAX_RECORDS:]
+        return [record for _, record, _, is_local in recent if is_local][-MAX_RECORDS:]
 
     def unsaved(self):
         """
--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
@@ -208,10 +208,10 @@
 def test_records_are_gossiped_for_a_while_by_the_hosts_that_observed_them():
     suspects = SuspectRequests()
     _crash(suspects, "own", "a", is_own=True)
-    _crash(suspects, "near", "a")
-    _crash(suspects, "far", "a", is_near=False)
+    _crash(suspects, "local", "a")
+    _crash(suspects, "remote", "a", is_local=False)
     assert [n.key for n in suspects.own_records(1.0)] == ["own"]
-    assert [n.key for n in suspects.local_records(1.0)] == ["own", "near"]
+    assert [n.key for n in suspects.local_records(1.0)] == ["own", "local"]
     assert suspects.own_records(GOSSIP_WINDOW) == []
     for number in range(2 * MAX_RECORDS):
         _crash(suspects, "own", f"incarnation-{number}", at=5.0, is_own=True)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -199,7 +199,7 @@
     def _take_runs(self, rows, is_near, at):
         """Take what became of targets under requests; return whether it was news."""
         suspects = self._shared.suspects
-        news = [suspects.add(RunRecord(*row), at, is_near=is_near) for row in rows]
+        news = [suspects.add(RunRecord(*row), at, is_local=is_near) for row in rows]
         return any(news)
 
     def _take_limits(self, rows, host, is_near, at):
