--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
@@ -156,7 +156,7 @@
     Return the most seconds that a request may wait for a token.
 
     Args:
-      demand: The request's `Demand`.
+      demand: The request's `RequestProfile`.
       urgency: How urgent it is for its service, from 0.0 to 1.0.
     """
     spare = max(0.0, demand.objective_left - demand.typical_duration)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
@@ -108,7 +108,7 @@
 
     Args:
       candidates: A list of `Candidate`.
-      demand: The `Demand`.
+      demand: The `RequestProfile`.
       rng: A `random.Random`, which decides between equals.
     Returns:
       A `Choice`, or None without candidates.
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -265,7 +265,7 @@
 
         Args:
           service: The service's name.
-          demand: The `Demand`.
+          demand: The `RequestProfile`.
           excluded: Ids of targets not to be used.
           has_link: A function that tells whether there is an open connection to a life
             of a target.
@@ -360,7 +360,7 @@
         )
 
     def demand(self, route, service, started, deadline, kilobytes, at):
-        """Return the `Demand` of a request by now."""
+        """Return the `RequestProfile` of a request by now."""
         return RequestProfile(
             route.kind,
             self.shared.times.typical_duration(service, route.name),
