--- a/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
@@ -44,12 +44,12 @@
 class Ranked(NamedTuple):
     """A service's targets in the order in which a host would keep to them."""
 
-    near: list[Target]
+    local: list[Target]
     away: list[Target]
 
     def first(self, count):
         """Return the first targets: some near by, and half as many elsewhere."""
-        return self.near[:count] + self.away[: math.ceil(count * AWAY_PART)]
+        return self.local[:count] + self.away[: math.ceil(count * AWAY_PART)]
 
 
 def order_targets(targets, host, centre):
