--- a/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
@@ -47,7 +47,7 @@
     local: list[Target]
     away: list[Target]
 
-    def first(self, count):
+    def subset(self, count):
         """Return the first targets: some near by, and half as many elsewhere."""
         return self.local[:count] + self.away[: math.ceil(count * AWAY_PART)]
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/subset_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/subset_test.py
@@ -33,7 +33,7 @@
     for host in HOSTS:
         for centre in CENTRES:
             ranked = order_targets(TARGETS, f"{centre}-{host}", centre)
-            subset = ranked.first(count)
+            subset = ranked.subset(count)
             assert len(subset) <= 1.5 * count + 1
             used.update(target.id for target in subset)
     assert len(used) == len(TARGETS)
@@ -44,8 +44,8 @@
 
 def test_a_target_that_leaves_moves_one_place():
     """Hosts would open all their connections anew at each change of the list."""
-    before = {t.id for t in order_targets(TARGETS, "h", "x").first(12)}
-    after = {t.id for t in order_targets(TARGETS[1:], "h", "x").first(12)}
+    before = {t.id for t in order_targets(TARGETS, "h", "x").subset(12)}
+    after = {t.id for t in order_targets(TARGETS[1:], "h", "x").subset(12)}
     assert len(before - after) <= 1
     assert len(after - before) <= 1
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -315,7 +315,7 @@
             ranked = order_targets(listed, settings.id, settings.centre)
             self._ranked[service] = (self.registry.revision, ranked)
         hosts = self.shared.live_host_count()
-        subset = ranked.first(subset_size(len(ranked.local), hosts, rate))
+        subset = ranked.subset(subset_size(len(ranked.local), hosts, rate))
         if not self.limits.are_any:
             return subset
         lives = {target.incarnation for target in usable}
