--- a/packages/plumsaddle-core/plumsaddle_core/limits/advertised.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/advertised.py
@@ -33,7 +33,7 @@
     `rate` is in requests a second over all hosts, or `NO_LIMIT`.
     """
 
-    life: TargetIncarnation
+    incarnation: TargetIncarnation
     version: int
     rate: float
 
@@ -113,7 +113,7 @@
         Returns:
           Whether it was newer than what was known.
         """
-        entry = self._entries.get(row.life)
+        entry = self._entries.get(row.incarnation)
         if entry is not None and row.version <= entry.version:
             is_same = row.version == entry.version
             if is_same and row.rate == entry.rate:
@@ -121,23 +121,23 @@
             if not is_same or _is_stricter(entry.rate, row.rate):
                 # The sender has missed an entry: repair it.
                 pending = self._local_pending if is_local else self._remote_pending
-                pending[row.life] = SENDS_PER_CHANGE
+                pending[row.incarnation] = SENDS_PER_CHANGE
                 return False
         self._apply(row, now)
         if is_local:
-            self._remote_pending[row.life] = SENDS_PER_CHANGE
+            self._remote_pending[row.incarnation] = SENDS_PER_CHANGE
         return True
 
     def _apply(self, row, now):
-        entry = self._entries.get(row.life)
+        entry = self._entries.get(row.incarnation)
         if entry is None:
-            entry = self._entries[row.life] = _Entry()
+            entry = self._entries[row.incarnation] = _Entry()
         if entry.rate == NO_LIMIT:
             entry.since = now
         entry.version, entry.rate, entry.known_at = row.version, row.rate, now
-        self._limited.pop(row.life, None)
+        self._limited.pop(row.incarnation, None)
         if row.rate != NO_LIMIT:
-            self._limited[row.life] = row.rate
+            self._limited[row.incarnation] = row.rate
         self.revision += 1
 
     # What is gossiped.
--- a/packages/plumsaddle-core/plumsaddle_core/limits/advertised_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/advertised_test.py
@@ -92,13 +92,13 @@
     limits = AdvertisedLimits()
     for number in range(MAX_ROWS + 5):
         limits.observe(f"t-{number}", 1.0, sent_at=0.0, now=1.0)
-    told = [row.life for _ in range(4) for row in limits.local_rows()]
+    told = [row.incarnation for _ in range(4) for row in limits.local_rows()]
     assert sorted(told) == sorted([f"t-{n}" for n in range(MAX_ROWS + 5)] * 2)
     rng = random.Random(1)
     repeated = [
         row for _ in range(9) for row in limits.anti_entropy_rows(MAX_ROWS, rng)
     ]
-    assert len({row.life for row in repeated}) == MAX_ROWS + 5
+    assert len({row.incarnation for row in repeated}) == MAX_ROWS + 5
 
 
 def test_only_what_the_own_data_centre_saw_goes_to_the_others():
@@ -106,7 +106,7 @@
     limits = AdvertisedLimits()
     limits.merge(LimitRow("far", 1, 2.0), False, 1.0)
     limits.merge(LimitRow("near", 1, 2.0), True, 1.0)
-    assert [row.life for row in limits.remote_rows()] == ["near"]
+    assert [row.incarnation for row in limits.remote_rows()] == ["near"]
 
 
 @given(
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -207,12 +207,16 @@
         limits = self._shared.limits.advertised
         has_news = False
         for row in map(LimitRow._make, rows):
-            former = limits.rate(row.life)
+            former = limits.rate(row.incarnation)
             if not limits.merge(row, is_near, at):
                 continue
             has_news = True
-            rate = limits.rate(row.life)
-            extra = {"target": target_id_of(row.life), "rate": rate, "former": former}
+            rate = limits.rate(row.incarnation)
+            extra = {
+                "target": target_id_of(row.incarnation),
+                "rate": rate,
+                "former": former,
+            }
             log.info("rate limit", extra={**extra, "peer": host})
         return has_news
 
