--- a/packages/plumsaddle-core/plumsaddle_core/limits/shares.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/shares.py
@@ -38,7 +38,7 @@
 class LimitedTarget(NamedTuple):
     """A target, and the requests a second that it takes from all hosts."""
 
-    life: TargetIncarnation
+    incarnation: TargetIncarnation
     rate: float
 
 
@@ -61,11 +61,11 @@
     start, end = _find_span(weights, own, total)
     shares = {}
     at = 0.0
-    for target in sorted(targets, key=lambda t: (_hash(t.life), t.life)):
+    for target in sorted(targets, key=lambda t: (_hash(t.incarnation), t.incarnation)):
         overlap = min(end, at + target.rate) - max(start, at)
         at += target.rate
         if overlap > 0.0:
-            shares[target.life] = overlap
+            shares[target.incarnation] = overlap
     return shares
 
 
