--- a/packages/plumsaddle-core/plumsaddle_core/core/features.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/features.py
@@ -1,31 +1,31 @@
 """
-The mechanisms that a host can do without, to measure what each of them is worth.
+Features that a host's settings can disable under `[experiments]`, for measurements.
 
-A host's settings may name some under `[experiments]`. None of them keeps a promise to
-callers by itself, but for the trials, which keep the floor of targets in use.
+Requests are still answered correctly without them, but without floor trials fewer
+targets may stay in use than the floor requires.
 """
 
 import enum
 
 
 class Feature(enum.Enum):
-    """A mechanism, by the name that settings give it."""
+    """A feature; values are the names in the settings."""
 
-    # Data centres tell each other outcomes that change a belief.
+    # Data centres exchange outcomes that change a target's failure estimate.
     REMOTE_EVIDENCE = "far-evidence"
-    # Data centres tell each other what they have in flight.
+    # Data centres exchange their numbers of requests in flight.
     REMOTE_LOAD = "far-load"
-    # A host keeps what it believes of its own path apart from the target.
+    # Failures of the host's own network path are not attributed to the target.
     PATH_EVIDENCE = "paths"
-    # Requests that keep sound targets in use.
+    # Trial requests that keep the floor of healthy targets in use.
     FLOOR_TRIALS = "floor-trials"
-    # A second send beside a slow one.
+    # A slow request is also sent to a second target.
     HEDGING = "second-sends"
     # Targets with an open connection are preferred.
     OPEN_CONNECTIONS = "open-connections"
-    # The wait for a slot is not counted as work.
+    # Time spent waiting for a slot is excluded from service times.
     SERVICE_TIMES = "work-times"
-    # Requests under which targets have ended are held back.
+    # Requests that are suspected of crashing targets are held.
     SUSPECT_HOLDS = "holding-back"
-    # What hosts tell each other is bounded by their links.
+    # Traffic between hosts is limited to a share of their link rates.
     BANDWIDTH_LIMIT = "allowance"
--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -1,10 +1,10 @@
 """
-The data of a host that runs on a platform with a registry of targets.
+Data types of a host that runs on a platform with a registry of targets.
 
-Here the platform lists the targets and the operators' configuration names routes
-and services; `core/data.py` holds the texts of plumsaddle's own interface instead.
-The two stand apart because the checks of those texts need a library that costs each
-host 8 MB and start time, and nothing on this page needs it.
+The platform lists the targets, and the operators' configuration defines routes and
+services. `core/data.py` has the types of plumsaddle's own configuration format. They
+are separate modules because `core/data.py` imports pydantic, which a host on a
+platform does not need and which adds memory use and start-up time.
 """
 
 import enum
@@ -25,7 +25,7 @@
 
 
 class RequestKind(enum.Enum):
-    """What may be done with a request that failed half way."""
+    """How a request may be retried after it was partly processed."""
 
     IDEMPOTENT = "idempotent"
     ORDER = "order"
@@ -38,7 +38,7 @@
 
 
 class TargetState(enum.Enum):
-    """What the registry says of a target."""
+    """The state of a target according to the registry."""
 
     READY = "ready"
     DRAINING = "leaving"
@@ -46,12 +46,12 @@
 
 class Target(NamedTuple):
     """
-    One life of a worker process, as the registry lists it.
+    One incarnation of a worker process, as the registry lists it.
 
-    `id` tells a target from a stranger that was given the same address. A target may
-    start again under its id and then knows nothing of before; `started_at` is the Unix
-    millisecond of its start, or 0 if its entry does not tell. `cold_for` are the
-    seconds for which the target said it would still be slow, counted from `read_at`.
+    `id` distinguishes targets that are given the same address in turn. A target that
+    restarts keeps its id but no state; `started_at` is the time of its start in Unix
+    milliseconds, or 0 if its entry has none. `warmup` is the number of seconds after
+    `read_at` for which the target announced that it would be slow.
     """
 
     id: TargetId
@@ -67,30 +67,30 @@
     @property
     def incarnation(self):
         """
-        The name of this life, under which hosts keep and tell what they know of it.
+        The identifier under which hosts store and exchange data on this incarnation.
 
-        Whatever was learnt of a former life stands under another name, so that it can
-        never be taken for news of this one, however late it arrives. The last 32 bits
-        of the start are told, which repeat after 49 days.
+        Late messages on a previous incarnation have another identifier, so they are
+        not applied to this one. It contains the low 32 bits of the start time, which
+        repeat after 49 days.
         """
-        return _life_of(self.id, self.started_at)
+        return _incarnation_of(self.id, self.started_at)
 
 
 @functools.lru_cache(maxsize=65536)
-def _life_of(target_id, started_at):
-    """Return a life's name; each choice asks for those of all targets."""
+def _incarnation_of(target_id, started_at):
+    """Return an incarnation's identifier; cached, as every target choice needs it."""
     if not started_at:
         return TargetIncarnation(target_id)
     return TargetIncarnation(f"{target_id}~{started_at & 0xFFFFFFFF:x}")
 
 
-def target_id_of(life):
-    """Return the id of the target that an incarnation's name belongs to."""
-    return TargetId(life.partition("~")[0])
+def target_id_of(incarnation):
+    """Return the target id that an incarnation's identifier contains."""
+    return TargetId(incarnation.partition("~")[0])
 
 
 class Share(NamedTuple):
-    """A service's part of a route's requests; weights need not add up to anything."""
+    """A service's share of a route's requests; weights are relative."""
 
     service: ServiceName
     weight: float
@@ -98,10 +98,10 @@
 
 class Route(NamedTuple):
     """
-    Which requests go to which services, and what may be done with them.
+    Maps requests to services and sets how they are handled.
 
-    Times are in seconds. `rank` orders kinds of requests under load, and the lowest
-    number is the most urgent. Requests of a public route need no key.
+    Times are in seconds. `priority` orders requests under load; the lowest number is
+    the most urgent. Requests of a public route need no API key.
     """
 
     name: str
@@ -118,11 +118,11 @@
 
 class Workspace(NamedTuple):
     """
-    Whom requests belong to, by the key that they bear.
+    A tenant, identified by the API keys of its requests.
 
-    `keys` are digests as `digest_of` gives them. All hosts together let through `rate`
-    requests a second and a `burst` on top; a rate of 0.0 is no limit. `rank` goes
-    before that of a request's route.
+    `keys` are digests as returned by `digest_of`. All hosts together admit `rate`
+    requests per second and a `burst` on top; a rate of 0.0 means no limit. `priority`
+    takes precedence over that of a request's route.
     """
 
     name: WorkspaceName
@@ -133,7 +133,7 @@
 
 
 class Limits(NamedTuple):
-    """What a caller may send, in bytes, and how slowly, in seconds."""
+    """Limits on a caller's request: sizes in bytes, timeouts in seconds."""
 
     header_bytes: int
     body_bytes: int
@@ -143,9 +143,9 @@
 
 class Configuration(NamedTuple):
     """
-    One version of the operators' configuration, decoded.
+    One decoded version of the operators' configuration.
 
-    Without workspaces there are no keys, and everybody may ask.
+    If there are no workspaces, requests need no API key.
     """
 
     version: int
@@ -157,10 +157,9 @@
 
 class Bounds(NamedTuple):
     """
-    The figures that an installation promises, in seconds and shares.
+    The service levels of an installation; times are in seconds.
 
-    The defaults are those of the smaller installations, for a platform that leaves
-    one out.
+    The defaults apply to whatever the settings file leaves out.
     """
 
     leaving: float = 2.0
@@ -178,10 +177,10 @@
 
 class HostSettings(NamedTuple):
     """
-    What a host learns from its settings file.
+    The content of a host's settings file.
 
-    `link` is what the host's link carries, in bytes a second, or None if unknown. `off`
-    are the mechanisms that an experiment does without.
+    `link_rate` is the capacity of the host's network link in bytes per second, or None
+    if unknown.
     """
 
     id: HostId
@@ -198,12 +197,12 @@
 
     @property
     def has_seeds(self):
-        """Whether other hosts are named, so that this one need not be the only one."""
+        """Whether the seeds name any other host."""
         return bool(set(self.seeds) - {self.peer_address})
 
 
 class SendOutcome(enum.Enum):
-    """What became of one send, as far as this host can know."""
+    """The result of sending a request to one target, as far as this host knows."""
 
     SUCCEEDED = "whole"
     NOT_RUN = "not-run"
@@ -219,10 +218,10 @@
 
 class Reply(NamedTuple):
     """
-    A target's answer.
+    A target's response.
 
-    `headers` are pairs of bytes as they came. `rest` is None for a whole answer,
-    else it is what reads the part of the body that follows `body`.
+    `headers` are pairs of bytes as received. `rest` is None if `body` is complete,
+    otherwise an object that reads the remainder of the body.
     """
 
     status: int
