--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -11,7 +11,6 @@
 import functools
 from typing import Any, NamedTuple
 
-from .features import Feature
 from .ids import (
     Address,
     DataCentre,
@@ -22,6 +21,7 @@
     TargetIncarnation,
     WorkspaceName,
 )
+from .parts import Feature
 
 
 class RequestKind(enum.Enum):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -2,7 +2,7 @@
 What a hub tells the hubs of other data centres.
 """
 
-from plumsaddle_core.core.features import Feature
+from plumsaddle_core.core.parts import Feature
 
 from .messages import Far, Load, encode
 from .strangers import Strangers
