--- a/packages/plumsaddle-core/plumsaddle_core/ops/peer_table.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/peer_table.py
@@ -139,7 +139,7 @@
         """The hub as this host picked it last, or None if that is this host."""
         return self._hub
 
-    def hear_hub(self, address, now):
+    def note_hub_heard(self, address, now):
         """Note that a host told something as a hub."""
         if address == self._hub:
             self._hub_heard_at = now
