--- a/packages/plumsaddle-core/plumsaddle_core/ops/peer_table.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/peer_table.py
@@ -108,7 +108,7 @@
         known = self._known.items()
         return [a for a, host in known if now - host.heard_at < LIVE_FOR]
 
-    def hear(self, address, now):
+    def note_heard(self, address, now):
         """Note that another host was heard, itself or by way of a hub."""
         known = self._known.get(address)
         if known is None:
