--- a/packages/plumsaddle-core/plumsaddle_core/ops/peer_table.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/peer_table.py
@@ -174,7 +174,7 @@
         self._hub_heard_us_at = now
         return True
 
-    def take_echo(self, sent_at, now):
+    def note_echo(self, sent_at, now):
         """
         Note that a hub has passed on what this host told it.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -147,7 +147,7 @@
         """Take what a hub passes on of this host's own."""
         sent_at = self._ways.echo_of(work)
         if sent_at is not None:
-            self._peer_table.take_echo(sent_at, at)
+            self._peer_table.note_echo(sent_at, at)
             self._shared.limits.membership.note_delivered(sent_at)
 
     def _take_beat(self, beat, address, at):
