--- a/packages/plumsaddle-core/plumsaddle_core/ops/peer_table.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/peer_table.py
@@ -116,7 +116,7 @@
         elif now > known.heard_at:
             known.heard_at = now
 
-    def describe(self, address, link, contact):
+    def update(self, address, link, contact):
         """Take what a host that was heard says of itself."""
         known = self._known[address]
         known.link = link
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -151,7 +151,7 @@
             self._shared.limits.membership.note_delivered(sent_at)
 
     def _take_beat(self, beat, address, at):
-        self._peer_table.describe(address, beat.link, beat.contact)
+        self._peer_table.update(address, beat.link, beat.contact)
         self._learn(beat.members, at)
         self._others.strangers.learn(beat.strangers, at)
         self._readers.take_beat(beat, at)
