--- a/packages/plumsaddle-core/plumsaddle_core/ops/peer_table.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/peer_table.py
@@ -122,7 +122,7 @@
         known.link = link
         known.contact = contact
 
-    def name(self, address, now):
+    def add_candidate(self, address, now):
         """Take a host that another one named; it stays only if it is heard."""
         if address != self._address and address not in self._known:
             self._known[address] = Neighbour(now - KNOWN_FOR / 2)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -254,7 +254,7 @@
         strangers = self._others.strangers.some(at)
         if hello.centre == self._settings.centre:
             known = self._peer_table.addresses()
-            self._peer_table.name(address, at)
+            self._peer_table.add_candidate(address, at)
         else:
             known = self._others.strangers.of(hello.centre, at)
             self._others.strangers.remember(hello.centre, address, at)
@@ -267,7 +267,7 @@
         """Take hosts that were named; they stay only if they are heard."""
         for address in addresses:
             if is_address(address):
-                self._peer_table.name(address, at)
+                self._peer_table.add_candidate(address, at)
 
 
 def _decode_each(raws, decode_one, address):
