--- a/packages/plumsaddle-core/plumsaddle_core/ops/peer_updates.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/peer_updates.py
@@ -164,7 +164,7 @@
         self.count += 1
 
     @property
-    def has_untold(self):
+    def has_unsent(self):
         """Whether a note has not been told at all."""
         return self._told_once < self.count
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -42,7 +42,7 @@
         """Whether something was seen here that makes a target or a request worse."""
         has_runs = self._shared.suspects.local_record_count != self._runs_told
         has_limits = self._shared.limits.advertised.has_remote_pending
-        return has_runs or has_limits or self._shared.evidence.has_untold
+        return has_runs or has_limits or self._shared.evidence.has_unsent
 
     def note_hub(self, centre, address, at):
         """Note which host has spoken for another data centre."""
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -211,7 +211,7 @@
         work = (at - started) / load
         shared.note_outcome(worker.target.id, SERVICE, ROUTE, sign, work, at)
         shared.note_request_end(SERVICE, is_whole, at)
-        if shared.evidence.has_untold and self._is_shared:
+        if shared.evidence.has_unsent and self._is_shared:
             self._push(at + FAR_SECONDS, self._tell_far, centre, ())
         self._work(at, worker)
 
