--- a/packages/plumsaddle-core/plumsaddle_core/ops/peer_updates.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/peer_updates.py
@@ -47,7 +47,7 @@
     target: TargetIncarnation
     service: ServiceName
     route: str
-    sign: HealthSignal
+    signal: HealthSignal
     seconds: float
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -438,7 +438,7 @@
         """
         ratio = self._ratio_of(outcome)
         path_ratio = PATH_SUCCESS_LIKELIHOOD_RATIO
-        if outcome.sign in SILENCES and self._has_paths:
+        if outcome.signal in SILENCES and self._has_paths:
             path_ratio = ratio
             ratio = min(MAX_SILENCE_LIKELIHOOD_RATIO, ratio)
         if ratio != 1.0:
@@ -460,19 +460,19 @@
 
     def _ratio_of(self, outcome):
         """Return how much an outcome speaks for a failing target, as a ratio."""
-        if outcome.sign is HealthSignal.SUCCEEDED:
+        if outcome.signal is HealthSignal.SUCCEEDED:
             self.times.note_success(outcome.service, outcome.route, outcome.seconds)
             return SUCCESS_LIKELIHOOD_RATIO
-        if outcome.sign is HealthSignal.SHED:
+        if outcome.signal is HealthSignal.SHED:
             return rare_outcome_likelihood_ratio(self.times.note_shed(outcome.service))
-        if outcome.sign is HealthSignal.LATE:
+        if outcome.signal is HealthSignal.LATE:
             self.times.note_late(outcome.service, outcome.route, outcome.seconds)
             return 1.0
-        if outcome.sign is HealthSignal.STUCK:
+        if outcome.signal is HealthSignal.STUCK:
             return rare_outcome_likelihood_ratio(
                 self.times.note_stuck(outcome.service, outcome.route)
             )
-        if outcome.sign is HealthSignal.FAILED:
+        if outcome.signal is HealthSignal.FAILED:
             return FAILURE_LIKELIHOOD_RATIO
         return UNREACHABLE_LIKELIHOOD_RATIO
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -294,7 +294,7 @@
     def _make_work(self, at, beat):
         self._number += 1
         outcomes = [
-            (o.number, o.target, o.service, o.route, o.sign, round(o.seconds, 4))
+            (o.number, o.target, o.service, o.route, o.signal, round(o.seconds, 4))
             for o in self._shared.outcomes.take()
         ]
         counts = {}
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -336,7 +336,7 @@
             ends = recent.setdefault(outcome.target, deque(maxlen=kept))
             if not ends or outcome.number > ends[-1][0]:
                 ends.append(
-                    (outcome.number, at, outcome.sign is not HealthSignal.SUCCEEDED)
+                    (outcome.number, at, outcome.signal is not HealthSignal.SUCCEEDED)
                 )
 
         def is_out(target_id):
