--- a/packages/plumsaddle-core/plumsaddle_core/ops/peer_updates.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/peer_updates.py
@@ -168,7 +168,7 @@
         """Whether a note has not been told at all."""
         return self._told_once < self.count
 
-    def take(self):
+    def next_batch(self):
         """Return the notes for the next message."""
         since = self._told_twice
         self._told_twice, self._told_once = self._told_once, self.count
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -63,7 +63,7 @@
         self._runs_told = suspects.local_record_count
         evidence = [
             (e.number, e.target, round(e.ratio, 3))
-            for e in self._shared.evidence.take()
+            for e in self._shared.evidence.next_batch()
         ]
         if Feature.REMOTE_EVIDENCE in settings.disabled_features:
             evidence = []
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -180,7 +180,7 @@
             self._others.tell_news(self._shared.tags_used_since(at - FAR_EVERY), at)
         else:
             # The hub tells it for all.
-            self._shared.evidence.take()
+            self._shared.evidence.next_batch()
         if not len(self._peer_table) or self._others.strangers.are_few(at):
             self._ask(at)
 
@@ -295,7 +295,7 @@
         self._number += 1
         outcomes = [
             (o.number, o.target, o.service, o.route, o.signal, round(o.seconds, 4))
-            for o in self._shared.outcomes.take()
+            for o in self._shared.outcomes.next_batch()
         ]
         counts = {}
         if beat is not None or at - self._counted_at >= COUNTS_EVERY:
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -222,7 +222,7 @@
         self._push(at + FAR_SECONDS, self._tell_far, centre, used)
 
     def _tell_far(self, at, centre, used):
-        evidence = self.shared_states[centre].evidence.take()
+        evidence = self.shared_states[centre].evidence.next_batch()
         for other, shared in enumerate(self.shared_states):
             if other != centre and (evidence or used):
                 shared.apply_remote_update(
