--- a/packages/plumsaddle-core/plumsaddle_core/ops/peer_updates.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/peer_updates.py
@@ -174,7 +174,7 @@
         self._told_twice, self._told_once = self._told_once, self.count
         return tuple(note for note in self._notes if note.number >= since)
 
-    def last(self):
+    def recent(self):
         """Return all notes that are kept."""
         return tuple(self._notes)
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -332,7 +332,7 @@
     def choose(model, centre, host, at):
         shared = model.shared_states[centre]
         # The outcomes that the shared state repeats are the last ones that it was told.
-        for outcome in shared.outcomes.last():
+        for outcome in shared.outcomes.recent():
             ends = recent.setdefault(outcome.target, deque(maxlen=kept))
             if not ends or outcome.number > ends[-1][0]:
                 ends.append(
