--- a/packages/plumsaddle-core/plumsaddle_core/ops/peer_table_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/peer_table_test.py
@@ -27,8 +27,8 @@
     for own, table in tables.items():
         for name in heard:
             if name != own:
-                table.hear(name, at)
-                table.describe(name, (links or {}).get(name, 0.0), StoreStatus.TOLD)
+                table.note_heard(name, at)
+                table.update(name, (links or {}).get(name, 0.0), StoreStatus.TOLD)
 
 
 def test_hosts_that_hear_the_same_pick_the_same():
@@ -52,7 +52,7 @@
     for name in lost:
         for own, table in tables.items():
             if own != name:
-                table.describe(name, 0.0, StoreStatus.AWAY)
+                table.update(name, 0.0, StoreStatus.AWAY)
     contacts = {n: StoreStatus.AWAY if n in lost else StoreStatus.TOLD for n in NAMES}
     readers = [n for n, t in tables.items() if t.is_reader(contacts[n], 0.1)]
     assert len(readers) == READERS
@@ -103,12 +103,12 @@
     for step in range(40):
         at = left_at + step * 0.1
         _hear({own: table}, NAMES, at)
-        table.hear_hub(second, at)
-        table.take_echo(at, at)
+        table.note_hub_heard(second, at)
+        table.note_echo(at, at)
         assert not table.pick_hub(at)
     at = left_at + AVOIDED_FOR
     _hear({own: table}, NAMES, at)
-    table.hear_hub(second, at)
-    table.take_echo(at, at)
+    table.note_hub_heard(second, at)
+    table.note_echo(at, at)
     assert table.pick_hub(at)
     assert table.hub == hub
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -189,9 +189,9 @@
     peers.tell_soon(is_urgent=True)
     net.deliver()
     for _, other, _ in hosts[:3]:
-        assert other.fails("t", net.at) > 0.6
+        assert other.failure_probability("t", net.at) > 0.6
     for _, other, _ in hosts[3:]:
-        assert other.fails("t", net.at) > 0.45
+        assert other.failure_probability("t", net.at) > 0.45
 
 
 def _end_target(net, host):
@@ -421,7 +421,7 @@
     peers.tell_soon(is_urgent=True)
     net.deliver()
     for _, other, _ in left:
-        assert other.fails("t", net.at) > 0.6
+        assert other.failure_probability("t", net.at) > 0.6
         assert not other._lost_hosts(net.at)
 
 
