--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -93,7 +93,7 @@
     """
     The requests under which targets have crashed recently, as one host knows them.
 
-    `near_record_count` counts the records that hosts of the data centre have made.
+    `local_record_count` counts the records that hosts of the data centre have made.
     """
 
     def __init__(self):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/versions.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/versions.py
@@ -1,14 +1,14 @@
 """
 Which version of the configuration is in force.
 
-A proposal names the version that it replaces. It is accepted if and only if that
-version is in force at the proposal's place in the log, so of two operators who race
-the first in the log wins and the other one is refused. The rule looks at nothing
-but numbers and order: neither at a clock, nor at the text, nor at the version of
-this program, so that hosts on different releases agree too.
-
-Each accepted version's number is its base plus one. Numbers only grow, so nothing
-that is read twice, late or from a copy can bring an older version back.
+A proposal names the version that it replaces (a compare-and-set). It is accepted if and
+only if that version is in force at the proposal's place in the log, so of two
+concurrent proposals the first in the log wins. The rule depends on nothing but version
+numbers and log order, not on clocks, the text or the release of the host, so hosts on
+different releases agree.
+
+An accepted version's number is its base plus one. Numbers only grow, so a record that
+is read twice or late cannot revert to an older version.
 """
 
 from typing import NamedTuple
@@ -18,7 +18,7 @@
 
 
 class Proposal(NamedTuple):
-    """A text that an operator wants in force instead of the version `base`."""
+    """An operator's request to replace the version `base` by a new text."""
 
     id: str
     base: VersionNumber
@@ -41,59 +41,62 @@
 
 
 class Versions:
-    """The version in force, and what became of the latest proposals."""
+    """The version in force, and the results of the latest proposals."""
 
-    VERDICTS_KEPT = 200
+    MAX_RESULTS = 200
 
     def __init__(self, current=NO_VERSION):
         self.current = current
         self.results = {}
 
-    def record_verdict(self, proposal_id, number):
+    def record_result(self, proposal_id, number):
         """
-        Keep a verdict: the accepted number, or minus the winner's number.
+        Record a proposal's result, to be shown to its operator.
 
-        An append whose answer was lost may stand in the log twice. The second copy
-        is refused by its number like any other, and must not hide that the first
-        one was accepted. Verdicts inform; the rule above never looks at them,
-        since a host that started from a checkpoint has fewer of them.
+        A retried append may put the proposal in the log twice. The second copy is
+        rejected, which must not replace the acceptance of the first.
+
+        Args:
+          proposal_id: The proposal's id.
+          number: The accepted number, or minus the number of the version in force if
+            the proposal was rejected.
         """
         if self.results.get(proposal_id, 0) > 0:
             return
         self.results[proposal_id] = number
-        while len(self.results) > self.VERDICTS_KEPT:
+        while len(self.results) > self.MAX_RESULTS:
             self.results.pop(next(iter(self.results)))
 
 
 def apply_proposal(versions, proposal, offset):
     """
-    Fold one proposal into the versions.
+    Apply a proposal to the versions.
 
     Args:
-      versions: The `Versions`; it is changed.
-      proposal: A `Proposal`, or an event of another kind, which is passed over.
-      offset: The proposal's place in the log.
+      versions: The `Versions`, changed in place.
+      proposal: A `Proposal`; events of other kinds are ignored.
+      offset: The offset of the proposal's record, which is not used.
     """
-    del offset  # The order of the calls says it already.
+    del offset  # The calls are in log order already.
     if not isinstance(proposal, Proposal):
         return
     if proposal.base != versions.current.number:
-        versions.record_verdict(proposal.id, -versions.current.number)
+        versions.record_result(proposal.id, -versions.current.number)
         return
     number = VersionNumber(proposal.base + 1)
     versions.current = Version(
         number, proposal.id, proposal.text, proposal.author, proposal.note
     )
-    versions.record_verdict(proposal.id, number)
+    versions.record_result(proposal.id, number)
 
 
 def restore_versions(items):
-    """Return the versions that a checkpoint holds."""
+    """Return the `Versions` restored from a checkpoint's items."""
     return Versions(Version(*items[0])) if items else Versions()
 
 
 def dump_versions(versions):
-    """Return the items of a checkpoint that holds the versions."""
+    """Return the versions as items of a checkpoint."""
     return [list(versions.current)]
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/versions_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/versions_test.py
@@ -1,8 +1,9 @@
 """
-One version in force, and never an older one, against a naive version.
+Model-based tests: hosts agree on one version in force and never revert to an older one.
 
-Operators race, appends come twice or late, records expire, hosts start anew, freeze
-and hand versions to each other. The naive version takes the last record it reads.
+The model covers concurrent proposals, duplicate and late appends, expired records, and
+hosts that restart, lag and send each other versions. It is checked against a naive fold
+that takes the last record it reads.
 """
 
 import itertools
@@ -28,12 +29,12 @@
 )
 
 HOSTS = 2
-# What stops much of the rest of a walk must be rare, or little is walked.
+# Disruptive steps are drawn rarely, so that runs get far enough.
 RARELY = st.integers(0, 5).map(lambda number: number == 0)
 
 
 def apply_last(versions, proposal, offset):
-    """Take the last record, as the naive version does."""
+    """Put the last proposal in force, as the naive fold does."""
     if isinstance(proposal, Proposal):
         number = proposal.base + 1
         versions.current = Version(
@@ -42,17 +43,17 @@
 
 
 class Host:
-    """A host's fold and the version that it has in force."""
+    """A host's fold, and the version that the host applies."""
 
     def __init__(self, apply):
         self.fold = new_version_fold()
         self.fold._apply = apply
-        self.in_force = 0
+        self.applied = 0
         self.text = ""
 
 
 class VersionMachine(RuleBasedStateMachine):
-    """Operators, a log and hosts, in any order of events."""
+    """Operators, a log and hosts, with steps in any order."""
 
     apply = staticmethod(apply_proposal)
 
@@ -63,9 +64,9 @@
         self.ids = (f"p{n}" for n in itertools.count())
         self.hosts = [Host(self.apply) for _ in range(HOSTS)]
         self.late = []
-        self.whole = Versions()
+        self.reference = Versions()
         self.texts = {0: ""}
-        self.currents = [self.whole.current]
+        self.currents = [self.reference.current]
 
     index = st.integers(0, HOSTS - 1)
 
@@ -77,19 +78,19 @@
             self.log.append((proposal,))
 
     @rule(number=index)
-    def publish_on_what_a_host_has(self, number):
+    def publish_on_a_hosts_version(self, number):
         fold = self.hosts[number].fold
         base = fold.state.current.number
         self.log.append((Proposal(next(self.ids), base, f"t{len(self.log)}", "op"),))
 
     @precondition(lambda self: self.late)
     @rule()
-    def take_late(self):
+    def append_late(self):
         self.log.append(self.late.pop())
 
     @precondition(lambda self: self.log)
     @rule(data=st.data())
-    def copy(self, data):
+    def duplicate(self, data):
         self.log.append(data.draw(st.sampled_from(self.log)))
 
     @rule(number=index, count=st.integers(1, 6))
@@ -97,25 +98,25 @@
         host = self.hosts[number]
         host.fold.begin_read(self.first)
         for _ in range(count):
-            # A log whose head has expired answers from its first record on.
+            # The log skips to its first unexpired record.
             offset = max(host.fold.next_offset, self.first)
             if offset < len(self.log):
                 host.fold.feed(Record(offset, self.log[offset]))
-        self._put_in_force(host)
-
-    @rule(teller=index, taker=index)
-    def exchange(self, teller, taker):
-        told = self.hosts[teller].fold
-        if told.complete:
-            items = dump_versions(told.state)
-            self.hosts[taker].fold.adopt(items, told.next_offset - 1)
-            self._put_in_force(self.hosts[taker])
-
-    def _put_in_force(self, host):
-        """Do as the daemon does: never take a lower number."""
+        self._apply_current(host)
+
+    @rule(sender=index, receiver=index)
+    def exchange(self, sender, receiver):
+        sent = self.hosts[sender].fold
+        if sent.complete:
+            items = dump_versions(sent.state)
+            self.hosts[receiver].fold.adopt(items, sent.next_offset - 1)
+            self._apply_current(self.hosts[receiver])
+
+    def _apply_current(self, host):
+        """Apply a version as the daemon does: never a lower number."""
         current = host.fold.state.current
-        if host.fold.complete and current.number > host.in_force:
-            host.in_force = current.number
+        if host.fold.complete and current.number > host.applied:
+            host.applied = current.number
             host.text = current.text
 
     @rule(number=index, is_now=RARELY)
@@ -136,35 +137,35 @@
         if is_now:
             self.first = min(len(self.log), self.first + drop)
 
-    @rule(spare=st.integers(0, 3), number=index, is_now=RARELY)
-    def start_from_checkpoint(self, spare, number, is_now):
-        """Let all but the last checkpoint expire, and start a host anew."""
-        places = [
+    @rule(kept=st.integers(0, 3), number=index, is_now=RARELY)
+    def start_from_checkpoint(self, kept, number, is_now):
+        """Expire all records up to about the last checkpoint, and restart a host."""
+        checkpoint_offsets = [
             offset
             for offset, events in enumerate(self.log)
             if any(isinstance(event, Checkpoint) for event in events)
         ]
-        if is_now and places:
-            self.first = max(self.first, places[-1] - spare)
+        if is_now and checkpoint_offsets:
+            self.first = max(self.first, checkpoint_offsets[-1] - kept)
             self.hosts[number] = Host(self.apply)
             self.read(number, len(self.log))
 
     @invariant()
-    def every_host_has_what_the_whole_log_says(self):
+    def every_host_agrees_with_the_whole_log(self):
         for events in self.log[len(self.currents) - 1 :]:
             for event in events:
-                apply_proposal(self.whole, event, 0)
-            current = self.whole.current
+                apply_proposal(self.reference, event, 0)
+            current = self.reference.current
             self.texts.setdefault(current.number, current.text)
             self.currents.append(current)
         for host in self.hosts:
-            assert host.text == self.texts.get(host.in_force)
+            assert host.text == self.texts.get(host.applied)
             if host.fold.complete:
                 assert host.fold.state.current == self.currents[host.fold.next_offset]
 
 
 class NaiveVersionMachine(VersionMachine):
-    """The same events against hosts that take the last record."""
+    """The same steps with hosts that take the last record."""
 
     apply = staticmethod(apply_last)
 
@@ -178,30 +179,26 @@
     report_multiple_bugs=False,
     suppress_health_check=list(HealthCheck),
 )
-# A naive version only has to be caught, not to be caught in the fewest steps.
-CATCH = settings(PROFILE, phases=[Phase.generate])
+# A failure need not be shrunk here.
+NO_SHRINKING = settings(PROFILE, phases=[Phase.generate])
 
 
 def test_hosts_agree_and_no_version_reverts():
     """
-    Two hosts serve different configurations, or one goes back to an older one.
+    Two hosts serve different configurations, or one reverts to an older one.
 
-    Operators race, an append stands twice in the log, its head expires, a frozen
-    host's checkpoint comes late, a new host starts from a peer. The cause would be
-    a verdict that depends on what a host happens to have seen.
+    That happens if accepting a proposal depends on which records a host has read.
     """
     run_state_machine_as_test(VersionMachine, settings=PROFILE)
 
 
-def test_the_machine_catches_hosts_that_take_the_last_record():
-    """
-    The same machine against the naive version must find a disagreement.
-    """
+def test_the_model_detects_hosts_that_take_the_last_record():
+    """The model must find a disagreement among hosts with the naive fold."""
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(NaiveVersionMachine, settings=CATCH)
+        run_state_machine_as_test(NaiveVersionMachine, settings=NO_SHRINKING)
 
 
-def test_first_of_two_racing_operators_wins():
+def test_first_of_two_concurrent_proposals_wins():
     versions = Versions()
     apply_proposal(versions, Proposal("a", 0, "A", "ann"), 0)
     apply_proposal(versions, Proposal("b", 0, "B", "bob"), 1)
@@ -211,9 +208,9 @@
 
 def test_second_copy_of_an_accepted_proposal_stays_accepted():
     """
-    An operator is told "refused" of a version that is in force.
+    An operator is told that a version in force was rejected.
 
-    The append took effect, its answer was lost, and it was appended again.
+    The append took effect but its response was lost, and it was retried.
     """
     versions = Versions()
     for _ in range(2):
@@ -221,12 +218,12 @@
     assert versions.results == {"a": 1}
 
 
-def test_newcomer_does_not_take_the_loser_of_a_race_for_the_winner():
+def test_new_host_does_not_accept_a_rejected_proposal():
     """
-    A new host serves a configuration that was refused.
+    A new host serves a configuration that was rejected.
 
-    The accepted record has expired, and the first one left is the race's loser,
-    with the same base. Only a checkpoint can tell which of them won.
+    The record of the accepted proposal has expired, and a rejected one with the same
+    base is the first that is left. Only a checkpoint tells which of them was accepted.
     """
     fold = new_version_fold()
     fold.begin_read(1)
