--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency.py
@@ -24,7 +24,7 @@
     route: int
 
 
-def rank_of(route, workspace):
+def request_priority(route, workspace):
     """Return the `Rank` of a request; nobody's has its route's rank for both."""
     first = route.priority if workspace is None else workspace.priority
     return Rank(first, route.priority)
@@ -49,7 +49,7 @@
     for route in routes:
         own = {Rank(first, route.priority) for first in firsts}
         if route.is_public:
-            own.add(rank_of(route, None))
+            own.add(request_priority(route, None))
         for share in route.shares:
             ranks.setdefault(share.service, set()).update(own)
     return {service: sorted(found) for service, found in ranks.items()}
--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
@@ -9,8 +9,8 @@
 from .urgency import (
     Rank,
     patience,
-    rank_of,
     rank_services,
+    request_priority,
     retries_part,
     urgency,
 )
@@ -28,7 +28,9 @@
 def test_a_workspaces_rank_goes_before_its_routes():
     ranks = rank_services([HIGH, LOW], [FIRST, LAST])["s"]
     order = [(FIRST, HIGH), (FIRST, LOW), (LAST, HIGH), (LAST, LOW)]
-    found = [urgency(ranks, rank_of(route, workspace)) for workspace, route in order]
+    found = [
+        urgency(ranks, request_priority(route, workspace)) for workspace, route in order
+    ]
     assert found == pytest.approx([1.0, 2 / 3, 1 / 3, 0.0])
 
 
@@ -39,7 +41,7 @@
     Hardly an upload goes to the look-ups' service, and the places stay empty.
     """
     assert rank_services([HIGH, LOW], []) == {}
-    assert urgency((), rank_of(LOW, None)) == 1.0
+    assert urgency((), request_priority(LOW, None)) == 1.0
 
 
 def test_requests_that_are_ranked_alike_are_all_urgent():
@@ -53,7 +55,7 @@
 def test_nobodys_request_on_a_public_route_has_its_routes_rank():
     public = _route("public", 4, is_public=True)
     ranks = rank_services([public], [FIRST])["s"]
-    assert urgency(ranks, rank_of(public, None)) == 0.0
+    assert urgency(ranks, request_priority(public, None)) == 0.0
 
 
 def test_a_flood_of_less_urgent_retries_leaves_some_to_the_urgent():
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -36,8 +36,8 @@
     subset_size,
 )
 from plumsaddle_core.ops.urgency import (
-    rank_of,
     rank_services,
+    request_priority,
     retries_part,
     urgency,
 )
@@ -253,7 +253,7 @@
 
     def urgency(self, service, route, workspace):
         """Return how urgent a request is for its service, from 0.0 to 1.0."""
-        return urgency(self._ranks.get(service, ()), rank_of(route, workspace))
+        return urgency(self._ranks.get(service, ()), request_priority(route, workspace))
 
     # What the relay asks.
 
