--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency.py
@@ -30,7 +30,7 @@
     return Rank(first, route.priority)
 
 
-def rank_services(routes, workspaces):
+def priorities_by_service(routes, workspaces):
     """
     Return the ranks that requests for each service may have, the most urgent first.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
@@ -9,7 +9,7 @@
 from .urgency import (
     Rank,
     patience,
-    rank_services,
+    priorities_by_service,
     request_priority,
     retries_part,
     urgency,
@@ -26,7 +26,7 @@
 
 
 def test_a_workspaces_rank_goes_before_its_routes():
-    ranks = rank_services([HIGH, LOW], [FIRST, LAST])["s"]
+    ranks = priorities_by_service([HIGH, LOW], [FIRST, LAST])["s"]
     order = [(FIRST, HIGH), (FIRST, LOW), (LAST, HIGH), (LAST, LOW)]
     found = [
         urgency(ranks, request_priority(route, workspace)) for workspace, route in order
@@ -40,12 +40,12 @@
 
     Hardly an upload goes to the look-ups' service, and the places stay empty.
     """
-    assert rank_services([HIGH, LOW], []) == {}
+    assert priorities_by_service([HIGH, LOW], []) == {}
     assert urgency((), request_priority(LOW, None)) == 1.0
 
 
 def test_requests_that_are_ranked_alike_are_all_urgent():
-    ranks = rank_services([_route("one", 3), _route("two", 1, "t")], [FIRST])
+    ranks = priorities_by_service([_route("one", 3), _route("two", 1, "t")], [FIRST])
     assert urgency(ranks["s"], Rank(0, 3)) == 1.0
     assert urgency(ranks["t"], Rank(0, 1)) == 1.0
     # Of a version that is not in force any more.
@@ -54,7 +54,7 @@
 
 def test_nobodys_request_on_a_public_route_has_its_routes_rank():
     public = _route("public", 4, is_public=True)
-    ranks = rank_services([public], [FIRST])["s"]
+    ranks = priorities_by_service([public], [FIRST])["s"]
     assert urgency(ranks, request_priority(public, None)) == 0.0
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -36,7 +36,7 @@
     subset_size,
 )
 from plumsaddle_core.ops.urgency import (
-    rank_services,
+    priorities_by_service,
     request_priority,
     retries_part,
     urgency,
@@ -165,7 +165,7 @@
         for digest in shared:
             log.error("shared key", extra={"key": show_digest(digest)})
         self.shared.quotas.configure(cfg.workspaces, now())
-        self._ranks = rank_services(cfg.routes, cfg.workspaces)
+        self._ranks = priorities_by_service(cfg.routes, cfg.workspaces)
         names = {route.name for route in cfg.routes}
         self.shared.times.retain_routes(names)
         kept = {
