--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency.py
@@ -17,7 +17,7 @@
 PATIENCE_LEAST = 0.6
 
 
-class Rank(NamedTuple):
+class RequestPriority(NamedTuple):
     """What orders requests: the workspace's rank, and then the route's."""
 
     workspace: int
@@ -27,7 +27,7 @@
 def request_priority(route, workspace):
     """Return the `Rank` of a request; nobody's has its route's rank for both."""
     first = route.priority if workspace is None else workspace.priority
-    return Rank(first, route.priority)
+    return RequestPriority(first, route.priority)
 
 
 def priorities_by_service(routes, workspaces):
@@ -47,7 +47,7 @@
     firsts = {workspace.priority for workspace in workspaces}
     ranks = {}
     for route in routes:
-        own = {Rank(first, route.priority) for first in firsts}
+        own = {RequestPriority(first, route.priority) for first in firsts}
         if route.is_public:
             own.add(request_priority(route, None))
         for share in route.shares:
--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
@@ -7,7 +7,7 @@
 from ..core.traffic import RequestKind, Route, Share, Workspace
 from .centre_retry_budget import CentreRetryBudget
 from .urgency import (
-    Rank,
+    RequestPriority,
     patience,
     priorities_by_service,
     request_priority,
@@ -46,10 +46,10 @@
 
 def test_requests_that_are_ranked_alike_are_all_urgent():
     ranks = priorities_by_service([_route("one", 3), _route("two", 1, "t")], [FIRST])
-    assert urgency(ranks["s"], Rank(0, 3)) == 1.0
-    assert urgency(ranks["t"], Rank(0, 1)) == 1.0
+    assert urgency(ranks["s"], RequestPriority(0, 3)) == 1.0
+    assert urgency(ranks["t"], RequestPriority(0, 1)) == 1.0
     # Of a version that is not in force any more.
-    assert urgency(ranks["s"], Rank(9, 9)) == 1.0
+    assert urgency(ranks["s"], RequestPriority(9, 9)) == 1.0
 
 
 def test_nobodys_request_on_a_public_route_has_its_routes_rank():
