--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency.py
@@ -55,7 +55,7 @@
     return {service: sorted(found) for service, found in ranks.items()}
 
 
-def urgency(ranks, rank):
+def relative_urgency(ranks, rank):
     """
     Return how urgent a rank is among others, from 0.0 to 1.0 for the most urgent.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
@@ -10,9 +10,9 @@
     RequestPriority,
     patience,
     priorities_by_service,
+    relative_urgency,
     request_priority,
     retries_part,
-    urgency,
 )
 
 
@@ -29,7 +29,8 @@
     ranks = priorities_by_service([HIGH, LOW], [FIRST, LAST])["s"]
     order = [(FIRST, HIGH), (FIRST, LOW), (LAST, HIGH), (LAST, LOW)]
     found = [
-        urgency(ranks, request_priority(route, workspace)) for workspace, route in order
+        relative_urgency(ranks, request_priority(route, workspace))
+        for workspace, route in order
     ]
     assert found == pytest.approx([1.0, 2 / 3, 1 / 3, 0.0])
 
@@ -41,21 +42,21 @@
     Hardly an upload goes to the look-ups' service, and the places stay empty.
     """
     assert priorities_by_service([HIGH, LOW], []) == {}
-    assert urgency((), request_priority(LOW, None)) == 1.0
+    assert relative_urgency((), request_priority(LOW, None)) == 1.0
 
 
 def test_requests_that_are_ranked_alike_are_all_urgent():
     ranks = priorities_by_service([_route("one", 3), _route("two", 1, "t")], [FIRST])
-    assert urgency(ranks["s"], RequestPriority(0, 3)) == 1.0
-    assert urgency(ranks["t"], RequestPriority(0, 1)) == 1.0
+    assert relative_urgency(ranks["s"], RequestPriority(0, 3)) == 1.0
+    assert relative_urgency(ranks["t"], RequestPriority(0, 1)) == 1.0
     # Of a version that is not in force any more.
-    assert urgency(ranks["s"], RequestPriority(9, 9)) == 1.0
+    assert relative_urgency(ranks["s"], RequestPriority(9, 9)) == 1.0
 
 
 def test_nobodys_request_on_a_public_route_has_its_routes_rank():
     public = _route("public", 4, is_public=True)
     ranks = priorities_by_service([public], [FIRST])["s"]
-    assert urgency(ranks, request_priority(public, None)) == 0.0
+    assert relative_urgency(ranks, request_priority(public, None)) == 0.0
 
 
 def test_a_flood_of_less_urgent_retries_leaves_some_to_the_urgent():
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -37,9 +37,9 @@
 )
 from plumsaddle_core.ops.urgency import (
     priorities_by_service,
+    relative_urgency,
     request_priority,
     retries_part,
-    urgency,
 )
 from plumsaddle_core.ops.workspaces import index_keys, show_digest
 
@@ -253,7 +253,9 @@
 
     def urgency(self, service, route, workspace):
         """Return how urgent a request is for its service, from 0.0 to 1.0."""
-        return urgency(self._ranks.get(service, ()), request_priority(route, workspace))
+        return relative_urgency(
+            self._ranks.get(service, ()), request_priority(route, workspace)
+        )
 
     # What the relay asks.
 
