--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -1,19 +1,19 @@
 """
 Rate limits of workspaces, kept by all hosts together.
 
-Each host counts by workspace what was requested and admitted and gossips decaying sums
-(`sums`). Hosts of a data centre report each request to each other; another data centre
-receives sums over all hosts of one, and only those of workspaces near their limit. Idle
-workspaces hold no state.
+Each host counts the requested and admitted requests of each workspace and gossips
+decaying sums of them (`sums`). Hosts of a data centre report all requests to each
+other; other data centres receive sums over the hosts of the data centre, and only for
+workspaces near their limit. Idle workspaces hold no state.
 
 An unreachable host may have crashed or may be partitioned and still serving
-(`liveness`), so its share of each limit stays reserved: the share of what was requested
-from it before, and a little that is dealt equally. It computes the same from what it
-received last, so the shares add up to the limit. They are those of before the
-partition, whatever is requested since: if each side went by its own present demand, a
-workspace that turns hot would have most of its limit on both sides. What unreachable
-hosts admit is assumed to be proportional to what is seen, and so what they report once
-they are reachable again has been counted.
+(`liveness`), so its share of each limit stays reserved. The share is proportional to
+the requests that it received before the partition, plus a small equal part. The
+unreachable host computes the same shares from the last messages that it received, so
+they add up to the limit. Shares do not follow the demand during a partition: otherwise
+a workspace whose demand rises would be given most of its limit on both sides.
+Unreachable hosts are assumed to admit requests in proportion to their share, and
+requests that they report after the partition are not counted again.
 """
 
 import random
@@ -24,21 +24,21 @@
 from .meter import Meter, Tolerance, window_capacity
 from .sums import DECAY_TIME, DecayingCounts, workspace_tag
 
-# The part of each limit that is dealt equally, so that a host which was asked nothing
-# before it was cut off may serve a little.
+# The fraction of each limit that is divided equally, so that a host without requests
+# before a partition can admit some during it.
 EQUAL_FRACTION = 0.1
-# Looks, one a second, at what was asked that are kept. The oldest is from before any
-# silence that has just been noticed.
+# Demand samples kept per workspace, taken once a second. The oldest predates any
+# partition that has just been detected.
 MAX_SAMPLES = 3
-# Messages with which a row goes out: datagrams are lost now and then.
+# Messages in which a changed row is sent, since datagrams may be lost.
 SENDS_PER_CHANGE = 2
-# A data centre speaks to the others of a workspace whose demand here is at least this
-# part of its rate, divided among the data centres.
+# A data centre reports a workspace to the others if its local demand is at least this
+# fraction of the workspace's rate divided by the number of data centres.
 NEAR_LIMIT_FRACTION = 0.2
-# Rows of a message at most. Those that are left out go with the next one.
+# Maximum rows per message; the others are sent with the next one.
 MAX_ROWS = 200
-# A workspace that has asked nothing for this long (seconds) is forgotten: its window is
-# over, and what was told of it has faded.
+# Seconds without requests after which the state of a workspace is evicted. By then its
+# window is over and its sums have decayed.
 IDLE_TIMEOUT = 15.0
 
 
@@ -46,9 +46,9 @@
     """
     Whether a request is within its workspace's limit.
 
-    `pause` is when to return, in seconds. The others are the inputs: the requests left,
-    the fleet's demand a second, the share of the limit for the reachable hosts, and how
-    many hosts are unreachable.
+    `retry_after` is in seconds. The other fields are the inputs of the decision: the
+    remaining requests, the demand on all hosts in requests a second, the share of the
+    limit of the reachable hosts, and the number of unreachable hosts.
     """
 
     is_admitted: bool
@@ -63,7 +63,7 @@
 
 
 class _WorkspaceState:
-    """What is known of one workspace: its meter and the sums that are told of it."""
+    """The state of one workspace: its meter and the sums of its requests."""
 
     __slots__ = (
         "liveness_revision",
@@ -77,29 +77,29 @@
 
     def __init__(self, meter):
         self.meter = meter
-        # Of this host, of all hosts of its data centre, and of the other data centres.
+        # This host, all hosts of its data centre, and the other data centres.
         self.own = DecayingCounts()
         self.local = DecayingCounts()
         self.remote = DecayingCounts()
-        # What this host and all hosts were asked, a look each second.
+        # Requests to this host and to all hosts, sampled once a second.
         self.samples = deque(maxlen=MAX_SAMPLES)
-        # The part of the limit for the hosts that are heard, and of which revision.
+        # The share of the reachable hosts, and the `Liveness` revision it is for.
         self.reachable_share = 1.0
         self.liveness_revision = 0
 
     def add_sample(self, now):
-        """Keep what is asked by now."""
-        everyone = self.local.requested(now) + self.remote.requested(now)
-        self.samples.append((self.own.requested(now), everyone))
+        """Record a sample of the present demand."""
+        everywhere = self.local.requested(now) + self.remote.requested(now)
+        self.samples.append((self.own.requested(now), everywhere))
 
 
 class Quotas:
     """
-    All limits, as one host keeps them.
+    The rate limits of all workspaces on one host.
 
     Args:
       tolerance: The `Tolerance`.
-      centres: How many data centres there are.
+      centres: The number of data centres.
       rng: A `random.Random`.
     """
 
@@ -117,7 +117,7 @@
 
     def configure(self, workspaces, now):
         """
-        Take the limits of a configuration's workspaces.
+        Set the limits from the workspaces of a configuration.
 
         Args:
           workspaces: The `Workspace` tuples.
@@ -132,8 +132,8 @@
         }
         for tag in self._states.keys() - self._limits.keys():
             self._evict(tag)
-        for tag, known in self._states.items():
-            known.meter.set_limit(*self._limit_of(tag))
+        for tag, state in self._states.items():
+            state.meter.set_limit(*self._limit_of(tag))
 
     def _limit_of(self, tag):
         workspace = self._limits[tag]
@@ -142,17 +142,17 @@
 
     @property
     def workspace_count(self):
-        """Of how many workspaces something is kept."""
+        """The number of workspaces with state."""
         return len(self._states)
 
     # This host's own requests.
 
     def acquire(self, workspace, now):
         """
-        Rule on a request, and count it.
+        Decide whether to admit a request, and count it.
 
         Args:
-          workspace: The `Workspace`, or None for nobody's.
+          workspace: The `Workspace`, or None for a request without one.
           now: The present, in seconds.
         Returns:
           A `QuotaDecision`.
@@ -160,55 +160,55 @@
         if workspace is None or workspace.rate <= 0:
             return ADMITTED
         tag = workspace_tag(workspace.name)
-        known = self._get_state(tag, now)
-        if known is None:
+        state = self._get_state(tag, now)
+        if state is None:
             return ADMITTED
-        known.meter.note_requested(1.0, now)
-        part = self._reachable_share(tag, known, now)
-        demand = self._demand(known, now)
-        chance = known.meter.admission_probability(part, demand, now)
-        is_admitted = chance >= 1.0 or self._rng.random() < chance
-        self._count(tag, known, 1.0, float(is_admitted), now)
+        state.meter.note_requested(1.0, now)
+        share = self._reachable_share(tag, state, now)
+        demand = self._demand(state, now)
+        probability = state.meter.admission_probability(share, demand, now)
+        is_admitted = probability >= 1.0 or self._rng.random() < probability
+        self._count(tag, state, 1.0, float(is_admitted), now)
         if is_admitted:
             return ADMITTED
         return QuotaDecision(
             False,
-            known.meter.retry_after(demand, self._rng.random(), now),
-            round(known.meter.remaining(now), 1),
+            state.meter.retry_after(demand, self._rng.random(), now),
+            round(state.meter.remaining(now), 1),
             round(demand, 1),
-            round(part, 3),
+            round(share, 3),
             self._liveness.unreachable_host_count(),
         )
 
-    def _demand(self, known, now):
+    def _demand(self, state, now):
         """
-        Return the requests a second that the hosts which are heard are asked.
+        Return the demand on the reachable hosts, in requests a second.
 
-        A host by itself sees few of them, so it takes the longer average.
+        An isolated host sees few requests, so it averages over a longer time.
         """
         if self._liveness.is_isolated:
-            return known.own.requested(now) / DECAY_TIME
-        return known.meter.demand(now)
+            return state.own.requested(now) / DECAY_TIME
+        return state.meter.demand(now)
 
     def release(self, workspace, now):
-        """Take it that a request which was let through has not run, and never will."""
+        """Release an admitted request that was not run and never will be."""
         if workspace is None or workspace.rate <= 0:
             return
         tag = workspace_tag(workspace.name)
-        known = self._get_state(tag, now)
-        if known is not None:
-            self._count(tag, known, 0.0, -1.0, now)
+        state = self._get_state(tag, now)
+        if state is not None:
+            self._count(tag, state, 0.0, -1.0, now)
 
     def _get_state(self, tag, now):
-        """Return what is known of a workspace with a limit, or None."""
-        known = self._states.get(tag)
-        if known is None and tag in self._limits:
+        """Return the `_WorkspaceState` of a workspace, or None if it has no limit."""
+        state = self._states.get(tag)
+        if state is None and tag in self._limits:
             window = self._tolerance.window
             meter = Meter(*self._limit_of(tag), window, self._started_at, now)
-            known = self._states[tag] = _WorkspaceState(meter)
-        if known is not None:
+            state = self._states[tag] = _WorkspaceState(meter)
+        if state is not None:
             self._last_used_at[tag] = now
-        return known
+        return state
 
     def _evict(self, tag):
         for kept in (
@@ -221,80 +221,80 @@
         for source in self._liveness.sources():
             source.received.evict(tag)
 
-    def _count(self, tag, known, asked, admitted, now):
-        """Count what this host was asked and let through."""
-        known.own.add(asked, admitted, now)
+    def _count(self, tag, state, requested, admitted, now):
+        """Count requests to this host."""
+        state.own.add(requested, admitted, now)
         self._local_pending[tag] = SENDS_PER_CHANGE
-        self._count_local(tag, known, asked, admitted, now)
+        self._count_local(tag, state, requested, admitted, now)
 
-    def _count_local(self, tag, known, asked, admitted, now):
-        """Count what a host of this data centre was asked and let through."""
-        known.local.add(asked, admitted, now)
+    def _count_local(self, tag, state, requested, admitted, now):
+        """Count requests to a host of this data centre."""
+        state.local.add(requested, admitted, now)
         self._remote_pending[tag] = SENDS_PER_CHANGE
-        self._note_admitted(tag, known, admitted, now)
+        self._note_admitted(tag, state, admitted, now)
 
-    def _note_admitted(self, tag, known, admitted, now):
-        """Count what some host let through against the limit."""
+    def _note_admitted(self, tag, state, admitted, now):
+        """Count admitted requests of any host against the limit."""
         if admitted:
-            # Hosts that are not heard likely let through as much for their part.
-            known.meter.note_admitted(
-                admitted / self._reachable_share(tag, known, now), now
+            # Unreachable hosts are assumed to admit in proportion to their share.
+            state.meter.note_admitted(
+                admitted / self._reachable_share(tag, state, now), now
             )
 
-    # What is told.
+    # Sending.
 
     def local_rows(self, now):
         """Return the `QuotaRow`s for a message to the hosts of the data centre."""
-        untold = self._take_pending(self._local_pending)
-        return [known.own.row(tag, now) for tag, known in untold]
+        pending = self._take_pending(self._local_pending)
+        return [state.own.row(tag, now) for tag, state in pending]
 
     def remote_rows(self, now):
         """Return the `QuotaRow`s for a message to the other data centres."""
         for tag in list(self._remote_pending):
             if not self._is_near_limit(self._states[tag], now):
                 del self._remote_pending[tag]
-        untold = self._take_pending(self._remote_pending)
-        return [known.local.row(tag, now) for tag, known in untold]
+        pending = self._take_pending(self._remote_pending)
+        return [state.local.row(tag, now) for tag, state in pending]
 
-    def _is_near_limit(self, known, now):
-        demand = known.local.requested(now) / DECAY_TIME
-        return demand >= NEAR_LIMIT_FRACTION * known.meter.rate / self._centres
+    def _is_near_limit(self, state, now):
+        demand = state.local.requested(now) / DECAY_TIME
+        return demand >= NEAR_LIMIT_FRACTION * state.meter.rate / self._centres
 
-    def _take_pending(self, untold):
-        """Return the tags that are to be told, with what is known of them."""
-        tags = list(untold)[:MAX_ROWS]
+    def _take_pending(self, pending):
+        """Return the tags and states for the next message."""
+        tags = list(pending)[:MAX_ROWS]
         for tag in tags:
-            untold[tag] -= 1
-            if not untold[tag]:
-                del untold[tag]
+            pending[tag] -= 1
+            if not pending[tag]:
+                del pending[tag]
         return [(tag, self._states[tag]) for tag in tags]
 
     def local_hosts(self):
-        """Return the `HostCount` of this host's data centre, which others are told."""
+        """Return the `HostCount` of this data centre, for the other data centres."""
         return self._liveness.local_hosts()
 
-    # What the others tell.
+    # Receiving.
 
     def merge_local(self, host, life, rows, now):
         """
-        Take a message of a host of this data centre; it need not hold rows.
+        Merge a message of a host of this data centre; it may be without rows.
 
         Args:
           host: The host's id.
-          life: Its life, drawn anew at each start.
+          life: The host's incarnation, drawn at random at each start.
           rows: The `QuotaRow`s.
           now: The present, in seconds.
         """
         source = self._liveness.note_host(host, life, now)
         for row in rows:
-            known = self._get_state(row[0], now)
-            if known is not None:
-                asked, admitted = _merge_row(known, source, row, now)
-                self._count_local(row[0], known, asked, admitted, now)
+            state = self._get_state(row[0], now)
+            if state is not None:
+                requested, admitted = _merge_row(state, source, row, now)
+                self._count_local(row[0], state, requested, admitted, now)
 
     def merge_remote(self, centre, hosts, rows, now):
         """
-        Take what was told for a data centre; two hosts may speak for it at once.
+        Merge a report for another data centre; two hosts may report for it at once.
 
         Args:
           centre: The `DataCentre`.
@@ -304,83 +304,87 @@
         """
         source = self._liveness.note_centre(centre, hosts, now)
         for row in rows:
-            known = self._get_state(row[0], now)
-            if known is not None:
-                asked, admitted = _merge_row(known, source, row, now, is_partial=True)
-                known.remote.add(asked, admitted, now)
-                self._note_admitted(row[0], known, admitted, now)
+            state = self._get_state(row[0], now)
+            if state is not None:
+                requested, admitted = _merge_row(
+                    state, source, row, now, is_partial=True
+                )
+                state.remote.add(requested, admitted, now)
+                self._note_admitted(row[0], state, admitted, now)
 
     def note_hub(self, now):
-        """Take it that something was heard, if only that the hub is there."""
+        """Note that a message was received, even if only the hub's heartbeat."""
         self._liveness.note_hub(now)
 
     def tick(self, now):
-        """Look once a second at who is heard, and forget what is over."""
+        """Update liveness and samples and evict idle workspaces, once a second."""
         self._liveness.tick(now)
         if self._liveness.is_fully_reachable:
-            for known in self._states.values():
-                known.add_sample(now)
+            for state in self._states.values():
+                state.add_sample(now)
         idle = [
             tag for tag, at in self._last_used_at.items() if now - at > IDLE_TIMEOUT
         ]
         for tag in idle:
             self._evict(tag)
 
-    # Whose part of a limit is whose.
+    # Shares of a limit.
 
-    def _reachable_share(self, tag, known, now):
-        """Return the part of a limit that belongs to the hosts that are heard."""
+    def _reachable_share(self, tag, state, now):
+        """Return the share of a limit that belongs to the reachable hosts."""
         self._liveness.check(now)
-        if known.liveness_revision != self._liveness.revision:
-            known.liveness_revision = self._liveness.revision
-            former, known.reachable_share = (
-                known.reachable_share,
-                self._compute_reachable_share(tag, known),
+        if state.liveness_revision != self._liveness.revision:
+            state.liveness_revision = self._liveness.revision
+            previous, state.reachable_share = (
+                state.reachable_share,
+                self._compute_reachable_share(tag, state),
             )
-            self._count_unreported(known, former - known.reachable_share, now)
-        return known.reachable_share
+            self._count_unreported(state, previous - state.reachable_share, now)
+        return state.reachable_share
 
-    def _count_unreported(self, known, part, now):
-        """Count what hosts with a part let through before they were missed."""
-        if part <= 0.0:
+    def _count_unreported(self, state, share, now):
+        """Count what lost hosts with a share admitted before they were missed."""
+        if share <= 0.0:
             return
-        meter = known.meter
+        meter = state.meter
         demand = meter.demand(now)
-        let_through = demand * ISOLATION_TIMEOUT
+        admitted = demand * ISOLATION_TIMEOUT
         if not self._liveness.is_isolated:
-            # From then on they knew that they were by themselves.
-            by_themselves = max(0.0, self._liveness.detection_delay - ISOLATION_TIMEOUT)
-            let_through += min(meter.rate, demand) * by_themselves
-        meter.note_admitted(part * let_through, now)
+            # After that time they detected that they were isolated.
+            isolated_for = max(0.0, self._liveness.detection_delay - ISOLATION_TIMEOUT)
+            admitted += min(meter.rate, demand) * isolated_for
+        meter.note_admitted(share * admitted, now)
 
-    def _compute_reachable_share(self, tag, known):
+    def _compute_reachable_share(self, tag, state):
         liveness = self._liveness
         if liveness.is_fully_reachable:
             return 1.0
-        own, everyone = known.samples[0] if known.samples else (0.0, 0.0)
+        own, everywhere = state.samples[0] if state.samples else (0.0, 0.0)
         hosts = liveness.host_count()
-        equal = EQUAL_FRACTION * known.meter.rate * DECAY_TIME / hosts
-        whole = max(everyone, own) + equal * hosts
+        equal = EQUAL_FRACTION * state.meter.rate * DECAY_TIME / hosts
+        total = max(everywhere, own) + equal * hosts
         if liveness.is_isolated:
-            return (own + equal) / whole
+            return (own + equal) / total
         lost = sum(
             source.received.requested(tag, source.last_message_at)
             + equal * sum(source.hosts)
             for source in liveness.unreachable()
         )
-        # Of hosts elsewhere that are missing, only the number is told.
-        lost += whole * liveness.remote_unreachable / hosts
-        return max(own + equal, whole - lost) / whole
+        # Other data centres report only the number of their unreachable hosts.
+        lost += total * liveness.remote_unreachable / hosts
+        return max(own + equal, total - lost) / total
 
 
-def _merge_row(known, source, row, now, is_partial=False):
+def _merge_row(state, source, row, now, is_partial=False):
     """
-    Take a `QuotaRow` of a source into a workspace's meter.
+    Merge a `QuotaRow` of a source into a workspace's meter.
 
     Returns:
-      What was asked and let through since the source's last row.
+      The requested and admitted requests since the source's last row.
     """
     is_known = row[0] in source.received
-    asked, admitted = source.received.merge(row, source.recovered_at, now, is_partial)
-    known.meter.note_reported(asked, admitted, is_known, now)
-    return asked, admitted
+    requested, admitted = source.received.merge(
+        row, source.recovered_at, now, is_partial
+    )
+    state.meter.note_reported(requested, admitted, is_known, now)
+    return requested, admitted
