--- a/packages/plumsaddle-core/plumsaddle_core/limits/liveness.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/liveness.py
@@ -1,9 +1,10 @@
 """
-Failure detection for limits that all hosts keep together.
+Failure detection for rate limits that hosts enforce together.
 
 An unreachable host may have crashed or may be partitioned and still serving. A host
-that hears nobody at all is isolated itself, or has lost its hub. Hosts of other data
-centres are heard through what hubs report for these, with how many hosts are missing.
+that receives no messages at all is isolated itself, or has lost its hub. Other data
+centres are observed through the reports of their hubs, which include the numbers of
+reachable and unreachable hosts.
 """
 
 import math
@@ -11,50 +12,50 @@
 
 from .sums import ReceivedSums
 
-# Hosts send a heartbeat once a second, and a hub passes it on within a tenth of one;
-# hubs speak to each other five times a second. Seconds without a message before a
-# source is unreachable.
+# Seconds without a message after which a source is unreachable. Hosts send a heartbeat
+# once a second, which a hub forwards within 0.1 s; hubs exchange messages five times a
+# second.
 MAX_UNREACHABLE_TIMEOUT = 1.6
-# A source that sends more often is unreachable after so many of its usual intervals,
-# but not before this many seconds.
+# A source that sends more often is unreachable after this many of its mean intervals,
+# but not before the minimum in seconds.
 UNREACHABLE_INTERVALS = 8.0
 MIN_UNREACHABLE_TIMEOUT = 0.6
-# The part by which each interval moves the usual one.
+# The weight of a new interval in the moving average.
 INTERVAL_WEIGHT = 0.1
 # Seconds between two checks for unreachable sources.
 CHECK_INTERVAL = 0.2
-# Seconds without any message before a host is isolated, or has lost its hub, which
-# speaks five times a second.
+# Seconds without any message after which a host is isolated or has lost its hub, which
+# sends five times a second.
 ISOLATION_TIMEOUT = 0.35
-# Seconds without a message before a source is evicted.
+# Seconds without a message after which a source is evicted.
 EVICTION_TIMEOUT = 60.0
 
 
 class HostCount(NamedTuple):
-    """How many hosts of a data centre are reachable there, and how many are not."""
+    """The numbers of reachable and unreachable hosts of a data centre."""
 
     reachable: int
     unreachable: int = 0
 
 
 class Source:
-    """One other host of the data centre, or one other data centre."""
+    """Another host of the data centre, or another data centre."""
 
     __slots__ = (
         "hosts",
         "is_unreachable",
         "last_message_at",
-        "life",
+        "incarnation",
         "mean_interval",
         "received",
         "recovered_at",
     )
 
-    def __init__(self, life, hosts, now):
-        self.life = life
+    def __init__(self, incarnation, hosts, now):
+        self.incarnation = incarnation
         self.hosts = hosts
         self.last_message_at = now
-        # The usual seconds between two messages.
+        # The moving average of the seconds between two messages.
         self.mean_interval = MAX_UNREACHABLE_TIMEOUT / UNREACHABLE_INTERVALS
         self.is_unreachable = False
         # When it was last reachable again.
@@ -62,29 +63,29 @@
         self.received = ReceivedSums()
 
     def note_message(self, now):
-        """Note a message of a source that was reachable."""
+        """Note a message of a reachable source."""
         gap = min(MAX_UNREACHABLE_TIMEOUT, now - self.last_message_at)
         self.mean_interval += INTERVAL_WEIGHT * (gap - self.mean_interval)
         self.last_message_at = now
 
     @property
     def unreachable_timeout(self):
-        """The seconds without a message after which it is unreachable."""
+        """The seconds without a message after which the source is unreachable."""
         after = UNREACHABLE_INTERVALS * self.mean_interval
         return min(MAX_UNREACHABLE_TIMEOUT, max(MIN_UNREACHABLE_TIMEOUT, after))
 
 
 class Liveness:
     """
-    Which other hosts and data centres one host can hear.
+    The reachability of other hosts and data centres, as seen by one host.
 
-    `revision` counts the changes, with which everybody's share of a limit changes.
+    `revision` counts the changes; each one changes the hosts' shares of the limits.
     """
 
     def __init__(self):
         self.revision = 0
         self.is_isolated = True
-        # For how long the last source had sent nothing when it was found unreachable.
+        # How long the last source to become unreachable had been silent by then.
         self.detection_delay = MAX_UNREACHABLE_TIMEOUT
         self._last_message_at = -math.inf
         self._checked_at = -math.inf
@@ -93,26 +94,26 @@
         self._unreachable = {}
         self._remote_unreachable = 0
 
-    # What is heard.
+    # Receiving.
 
-    def note_host(self, host, life, now):
+    def note_host(self, host, incarnation, now):
         """Note a message of a host of this data centre, and return its `Source`."""
-        return self._note_message(self._local, host, life, HostCount(1), now)
+        return self._note_message(self._local, host, incarnation, HostCount(1), now)
 
     def note_centre(self, centre, hosts, now):
         """Note a report for another data centre, and return its `Source`."""
         source = self._remote.get(centre)
-        former = source.hosts.unreachable if source is not None else 0
-        if former != hosts.unreachable:
-            self._remote_unreachable += hosts.unreachable - former
+        previous = source.hosts.unreachable if source is not None else 0
+        if previous != hosts.unreachable:
+            self._remote_unreachable += hosts.unreachable - previous
             self.revision += 1
         return self._note_message(self._remote, centre, 0, hosts, now)
 
-    def _note_message(self, sources, name, life, hosts, now):
+    def _note_message(self, sources, name, incarnation, hosts, now):
         source = sources.get(name)
-        if source is None or source.life != life:
-            # What its former incarnation admitted has been counted.
-            source = sources[name] = Source(life, hosts, now)
+        if source is None or source.incarnation != incarnation:
+            # The requests admitted by its previous incarnation are already counted.
+            source = sources[name] = Source(incarnation, hosts, now)
             self._mark_reachable(name)
         elif source.is_unreachable:
             source.is_unreachable = False
@@ -125,7 +126,7 @@
         return source
 
     def note_hub(self, now):
-        """Note any message, if only the hub's heartbeat."""
+        """Note any message, even if only the hub's heartbeat."""
         self._last_message_at = now
         if self.is_isolated:
             self.is_isolated = False
@@ -137,10 +138,10 @@
         if self._unreachable.pop(name, None) is not None:
             self.revision += 1
 
-    # What follows.
+    # Detection.
 
     def check(self, now):
-        """Find what has become unreachable; return whether this host is isolated."""
+        """Detect unreachable sources; return whether this host is isolated."""
         if not self.is_isolated and now - self._last_message_at > ISOLATION_TIMEOUT:
             self.is_isolated = True
             self.revision += 1
@@ -152,15 +153,15 @@
     def _mark_unreachable(self, now):
         for sources in (self._local, self._remote):
             for name, source in sources.items():
-                age = now - source.last_message_at
-                if age > source.unreachable_timeout and not source.is_unreachable:
+                silence = now - source.last_message_at
+                if silence > source.unreachable_timeout and not source.is_unreachable:
                     source.is_unreachable = True
                     self._unreachable[name] = source
-                    self.detection_delay = age
+                    self.detection_delay = silence
                     self.revision += 1
 
     def tick(self, now):
-        """Check, and evict sources that are gone."""
+        """Run a check, and evict sources that have long been silent."""
         self.check(now)
         for sources in (self._local, self._remote):
             for name, source in list(sources.items()):
@@ -172,11 +173,11 @@
         )
 
     def sources(self):
-        """Return all sources that are tracked."""
+        """Return all tracked sources."""
         return [*self._local.values(), *self._remote.values()]
 
     def unreachable(self):
-        """Return the sources that are tracked and unreachable."""
+        """Return the unreachable sources; all if this host is isolated."""
         return self.sources() if self.is_isolated else list(self._unreachable.values())
 
     @property
@@ -186,7 +187,7 @@
 
     @property
     def remote_unreachable(self):
-        """How many hosts are unreachable in the data centres that are heard."""
+        """The number of unreachable hosts that other data centres report."""
         return self._remote_unreachable
 
     def local_hosts(self):
@@ -195,15 +196,15 @@
         return HostCount(1 + len(self._local) - missing, missing)
 
     def host_count(self):
-        """Return how many hosts are tracked, this one included."""
+        """Return the number of tracked hosts, including this one."""
         return 1 + sum(sum(source.hosts) for source in self.sources())
 
     def unreachable_host_count(self):
-        """Return how many tracked hosts are unreachable."""
+        """Return the number of unreachable tracked hosts."""
         unreachable = self.unreachable()
-        elsewhere = sum(
+        remote = sum(
             source.hosts.unreachable
             for source in self.sources()
             if source not in unreachable
         )
-        return elsewhere + sum(sum(source.hosts) for source in unreachable)
+        return remote + sum(sum(source.hosts) for source in unreachable)
--- a/packages/plumsaddle-core/plumsaddle_core/limits/meter.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/meter.py
@@ -1,47 +1,47 @@
 """
-How much one workspace may still ask of all hosts together, as one host knows it.
-
-A limit is a rate and a burst, and holds over any window: so many seconds of the rate,
-and the burst. A meter counts what the whole fleet let through in the last window. This
-host counts its own requests at once and those of the others when it hears of them, some
-tenths of a second later. While much is left, everything is let through, so a workspace
-below its limit never notices. Once little is left the news is too old to go by: each
-host would see room, and all would let everything through until they hear of each other.
-So each lets the same part of its own requests through, the part by which the fleet's
-demand has to shrink to fit the limit. That needs no shares, no leases and nobody who
-hands them out, and it fits however unevenly the callers spread over the hosts.
+A sliding-window meter of one workspace's requests to all hosts.
+
+A limit is a rate and a burst: any window admits at most the rate times its length plus
+the burst. A meter counts the requests that all hosts admitted in the last window: this
+host's own at once, those of other hosts when they are reported, some tenths of a second
+later. While more than a reserve remains, every request is admitted, so a workspace
+below its limit is not affected. Below the reserve, the reported counts are too old: all
+hosts would see room and admit every request until the next reports. Each host then
+admits its own requests with the same probability, the ratio of the allowed rate to the
+demand on all hosts. This needs no shares, leases or coordinator, and holds however
+unevenly requests are distributed over the hosts.
 """
 
 import math
 from typing import NamedTuple
 
-# Demand is averaged over the time in which a limit allows this many requests, but over
-# so many seconds at least and at most. Over less, a workspace of a few requests a
-# second looks hot by chance; over more, one that turns hot overruns its limit.
+# Demand is averaged over the time in which the rate allows this many requests, within
+# these bounds in seconds. A shorter average fluctuates at low rates; a longer one
+# follows a rising demand too late to hold the limit.
 DEMAND_REQUESTS = 20.0
 MIN_DEMAND_WINDOW = 0.5
 MAX_DEMAND_WINDOW = 2.0
-# The part of a limit that must be left for everything to be let through. What others
-# have let through and this host has not heard of yet comes out of it.
+# The fraction of the capacity that must remain for every request to be admitted. It
+# covers requests that other hosts have admitted but not yet reported.
 RESERVE_FRACTION = 0.3
-# The part of a limit that is not meant to be used, against the same error.
+# The fraction of the capacity that is kept unused, to cover the same error.
 MARGIN_FRACTION = 0.04
-# Seconds until a host hears what others have let through. What they let through in that
-# time is estimated from what they told just before.
+# Seconds until other hosts' admitted requests are reported. Those of this time are
+# estimated from the reports of the last REPORTED_WINDOW seconds.
 GOSSIP_DELAY = 0.25
 REPORTED_WINDOW = 0.5
-# Seconds over which what is left beyond that is let through.
+# Seconds over which the remaining requests are spread.
 ADMISSION_HORIZON = 0.5
-# The window is counted in so many slots.
+# The number of slots in which a window is counted.
 WINDOW_SLOTS = 20
 
 
 class Tolerance(NamedTuple):
     """
-    What an installation tolerates beyond a limit, since hosts cannot know at once.
+    The tolerated excess over a limit, since hosts learn of each other's requests late.
 
-    In a window of that many seconds, `overshoot` is a share of what the limit allows,
-    and `slack` requests on top.
+    In a window of `window` seconds, `overshoot` is a fraction of the limit, and `slack`
+    a number of requests in addition to it.
     """
 
     window: float = 5.0
@@ -49,26 +49,26 @@
     slack: float = 20.0
 
 
-# The part of the slack that a meter lets workspaces use: without it, one of few
-# requests that come in clumps is thinned although it keeps to its limit over any
-# window. All other tolerance covers what hosts do not know of each other.
+# The fraction of the slack that is added to the capacity. Without it, a workspace with
+# few requests in bursts is throttled although it is within its limit over any window.
+# The rest of the tolerance covers requests that are not yet reported.
 SLACK_FRACTION = 0.3
 
 
 def window_capacity(rate, burst, tolerance):
     """
-    Return how many requests may be let through in a window.
+    Return the number of requests that may be admitted in a window.
 
     Args:
       rate: Requests a second.
-      burst: Requests on top.
+      burst: Requests in addition to the rate.
       tolerance: The `Tolerance`.
     """
     return rate * tolerance.window + burst + SLACK_FRACTION * tolerance.slack
 
 
 class DecayingSum:
-    """A sum whose parts fade: of each, 1/e is left after `seconds`."""
+    """A sum that decays exponentially with a time constant of `seconds`."""
 
     __slots__ = ("_at", "_seconds", "_value")
 
@@ -84,7 +84,7 @@
         return self._value
 
     def at(self, now):
-        """Return what is left of the sum at a moment."""
+        """Return the decayed sum at a time."""
         if not self._value:
             return 0.0
         return self._value * math.exp(min(0.0, (self._at - now) / self._seconds))
@@ -92,15 +92,14 @@
 
 class Meter:
     """
-    What was let through of one workspace in the last window, and what it demands.
+    The requests of one workspace admitted in the last window, and its demand.
 
     Args:
-      rate: Requests a second that the workspace may ask of all hosts.
-      capacity: What `capacity_of` returned.
-      window: The window, in seconds.
-      since: When this host began to hear what is let through. Before that it takes it
-        that the rate was used up, else a restart of all hosts would give each workspace
-        its limit once more.
+      rate: The workspace's limit over all hosts, in requests a second.
+      capacity: The `window_capacity` of the limit.
+      window: The length of the window, in seconds.
+      counted_since: When this host began to count. Before that the rate is assumed to
+        have been used up, so that a restart of all hosts does not reset the limits.
       now: The present, in seconds.
     """
 
@@ -115,20 +114,22 @@
         "rate",
     )
 
-    def __init__(self, rate, capacity, window, since, now):
+    def __init__(self, rate, capacity, window, counted_since, now):
         self.rate = rate
         self.capacity = capacity
         self._slot_length = window / WINDOW_SLOTS
-        # By number of slot what was let through in it, the oldest first.
+        # Admitted requests by slot number, the oldest first.
         self._slots = {}
         self._used = 0.0
-        for number in range(self._number(now) - WINDOW_SLOTS, self._number(since)):
+        for number in range(
+            self._number(now) - WINDOW_SLOTS, self._number(counted_since)
+        ):
             self._slots[number] = rate * self._slot_length
             self._used += rate * self._slot_length
         seconds = DEMAND_REQUESTS / rate if rate else MAX_DEMAND_WINDOW
         self._demand_window = max(MIN_DEMAND_WINDOW, min(MAX_DEMAND_WINDOW, seconds))
         self._demand = DecayingSum(self._demand_window)
-        # What other hosts told that they let through.
+        # Admitted requests that other hosts reported.
         self._reported = DecayingSum(REPORTED_WINDOW)
 
     def _number(self, now):
@@ -136,50 +137,50 @@
 
     def set_limit(self, rate, capacity):
         """
-        Set another limit.
+        Change the limit.
 
-        What was let through under a higher one counts by as much less as the limit is
-        lower. Else it would be more than the new one allows in a window, and everything
-        would be refused until that is over.
+        When the limit is lowered, the counts of the window are scaled down with it.
+        Otherwise they may exceed the new capacity, and every request would be refused
+        until the window has passed.
         """
         if 0 < rate < self.rate:
-            kept = rate / self.rate
-            self._slots = {n: kept * count for n, count in self._slots.items()}
+            scale = rate / self.rate
+            self._slots = {n: scale * count for n, count in self._slots.items()}
             self._used = sum(self._slots.values())
         self.rate = rate
         self.capacity = capacity
 
     def note_requested(self, count, now):
-        """Count requests that some host was asked."""
+        """Count requests to any host."""
         self._demand.add(count, now)
 
     def note_admitted(self, count, now):
-        """Count requests that some host let through; below zero are given back."""
+        """Count requests that any host admitted; a negative count releases them."""
         number = self._number(now)
         self._slots[number] = self._slots.get(number, 0.0) + count
         self._used += count
 
-    def note_reported(self, asked, admitted, is_known, now):
+    def note_reported(self, requested, admitted, is_known, now):
         """
-        Take what another host told of its requests.
+        Count requests that another host reported.
 
         Args:
-          asked: How many it was asked since its last message.
-          admitted: How many of these it let through; `note_admitted` counts them.
-          is_known: Whether it had told of the workspace before. What comes with the
-            first message was let through long ago and tells no rate.
+          requested: The number of requests since its last message.
+          admitted: How many of them were admitted; `note_admitted` counts them.
+          is_known: Whether the host has reported the workspace before. The time span of
+            a first report is unknown, so it gives no rate.
           now: The present, in seconds.
         """
-        self.note_requested(asked, now)
+        self.note_requested(requested, now)
         if is_known:
             self._reported.add(admitted, now)
 
     def demand(self, now):
-        """Return the requests a second that all hosts are asked."""
+        """Return the demand on all hosts, in requests a second."""
         return self._demand.at(now) / self._demand_window
 
     def remaining(self, now):
-        """Return how many more requests the window has room for."""
+        """Return how many more requests the window allows."""
         oldest = self._number(now) - WINDOW_SLOTS
         while self._slots:
             number = next(iter(self._slots))
@@ -188,47 +189,49 @@
             self._used -= self._slots.pop(number)
         return self.capacity - self._used
 
-    def admission_probability(self, part, demand, now):
+    def admission_probability(self, share, demand, now):
         """
-        Return the probability with which a request is to be let through.
+        Return the probability with which to admit a request.
 
         Args:
-          part: The part of the limit that belongs to the hosts that are heard.
-          demand: The requests a second that these are asked.
+          share: The share of the limit that belongs to the reachable hosts.
+          demand: The demand on these hosts, in requests a second.
           now: The present, in seconds.
         """
-        heard = min(demand, self._reported.at(now) / REPORTED_WINDOW)
-        left = self.remaining(now) - GOSSIP_DELAY * max(0.0, heard)
-        # Hosts that are not heard likely let through as much for their part.
-        if left >= RESERVE_FRACTION * self.capacity + 1.0 / part:
+        reported = min(demand, self._reported.at(now) / REPORTED_WINDOW)
+        remaining = self.remaining(now) - GOSSIP_DELAY * max(0.0, reported)
+        # Unreachable hosts are assumed to admit in proportion to their share.
+        if remaining >= RESERVE_FRACTION * self.capacity + 1.0 / share:
             return 1.0
-        if left < 1.0:
+        if remaining < 1.0:
             return 0.0
-        freed = (
+        expiring = (
             self._slots.get(self._number(now) - WINDOW_SLOTS, 0.0) / self._slot_length
         )
-        goal = freed + (left - MARGIN_FRACTION * self.capacity) / ADMISSION_HORIZON
-        return max(0.0, min(1.0, goal * part / demand)) if demand else 1.0
+        allowed_rate = (
+            expiring + (remaining - MARGIN_FRACTION * self.capacity) / ADMISSION_HORIZON
+        )
+        return max(0.0, min(1.0, allowed_rate * share / demand)) if demand else 1.0
 
-    def retry_after(self, demand, spread, now):
+    def retry_after(self, demand, jitter, now):
         """
-        Return the seconds after which a refused request likely finds room.
+        Return the seconds after which a refused request is likely to be admitted.
 
-        Callers that were refused together are sent to different moments: the more ask,
-        the wider apart.
+        The retries of callers that were refused together are spread over time, in
+        proportion to the demand.
 
         Args:
-          demand: As for `chance`.
-          spread: A number from 0.0 to 1.0, drawn for the caller.
+          demand: As for `admission_probability`.
+          jitter: A random number from 0.0 to 1.0, drawn for the caller.
           now: The present, in seconds.
         """
-        missing = MARGIN_FRACTION * self.capacity + 1.0 - self.remaining(now)
-        room_at = now
+        shortfall = MARGIN_FRACTION * self.capacity + 1.0 - self.remaining(now)
+        available_at = now
         for number, count in self._slots.items():
-            if missing <= 0.0:
+            if shortfall <= 0.0:
                 break
-            missing -= count
-            room_at = (number + WINDOW_SLOTS + 1) * self._slot_length
+            shortfall -= count
+            available_at = (number + WINDOW_SLOTS + 1) * self._slot_length
         window = self._slot_length * WINDOW_SLOTS
-        crowd = spread * demand * window / self.capacity
-        return min(window, room_at - now + max(self._slot_length, crowd))
+        spacing = jitter * demand * window / self.capacity
+        return min(window, available_at - now + max(self._slot_length, spacing))
--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -1,7 +1,7 @@
 """
 Rate limits of workspaces, kept by all hosts together.
 
-Each host counts the requested and admitted requests of each workspace and gossips
+Each host counts the requests of each workspace, all and admitted, and gossips
 decaying sums of them (`sums`). Hosts of a data centre report all requests to each
 other; other data centres receive sums over the hosts of the data centre, and only for
 workspaces near their limit. Idle workspaces hold no state.
@@ -380,7 +380,7 @@
     Merge a `QuotaRow` of a source into a workspace's meter.
 
     Returns:
-      The requested and admitted requests since the source's last row.
+      The numbers of all and of admitted requests since the source's last row.
     """
     is_known = row[0] in source.received
     requested, admitted = source.received.merge(
