--- a/packages/plumsaddle-core/plumsaddle_core/ops/remote_load.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/remote_load.py
@@ -12,7 +12,7 @@
 
 # Work in flight elsewhere is told ten times a second; after this many seconds without
 # it a data centre is cut off, and what it had in flight has mostly ended.
-LOAD_FOR = 1.5
+REMOTE_LOAD_TTL = 1.5
 
 
 class Elsewhere:
@@ -42,14 +42,20 @@
 
     def _sum_up(self, now):
         total = Counter()
-        loads = [load for load, at in self._loads.values() if now - at < LOAD_FOR]
+        loads = [
+            load for load, at in self._loads.values() if now - at < REMOTE_LOAD_TTL
+        ]
         for load in loads:
             total.update(load.counts)
         return RemoteLoadTotal(tuple(load.centre for load in loads), dict(total))
 
     def sums(self, now):
         """Return the latest `RemoteLoadTotal`, empty if it is out of date."""
-        return self._sums if now - self._sums_at < LOAD_FOR else RemoteLoadTotal((), {})
+        return (
+            self._sums
+            if now - self._sums_at < REMOTE_LOAD_TTL
+            else RemoteLoadTotal((), {})
+        )
 
     def take_sums(self, sums, now):
         """Take `RemoteLoadTotal`; they replace the former ones."""
@@ -58,7 +64,7 @@
 
     def is_known(self, centre, now):
         """Return whether a data centre has told its work lately."""
-        return centre in self._sums.centres and now - self._sums_at < LOAD_FOR
+        return centre in self._sums.centres and now - self._sums_at < REMOTE_LOAD_TTL
 
     def in_flight(self, tag):
         """Return the requests in flight at a target from all other data centres."""
@@ -67,6 +73,8 @@
     def evict_silent(self, now):
         """Forget the work of data centres that have been silent."""
         heard = self._loads.items()
-        self._loads = {c: entry for c, entry in heard if now - entry[1] < LOAD_FOR}
-        if now - self._sums_at >= LOAD_FOR:
+        self._loads = {
+            c: entry for c, entry in heard if now - entry[1] < REMOTE_LOAD_TTL
+        }
+        if now - self._sums_at >= REMOTE_LOAD_TTL:
             self._sums = RemoteLoadTotal((), {})
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -16,7 +16,7 @@
     UNHEARD_FOR,
 )
 from plumsaddle_core.ops.peer_updates import HealthSignal, tag_of
-from plumsaddle_core.ops.remote_load import LOAD_FOR
+from plumsaddle_core.ops.remote_load import REMOTE_LOAD_TTL
 from plumsaddle_core.ops.shared_state import SharedState
 from plumsaddle_core.ops.suspects import RunRecord
 
@@ -368,7 +368,7 @@
         assert shared.in_flight("t") == 2
     for _, shared, _ in hosts[3:]:
         assert shared.knows_remote_load("x", net.at)
-        assert not shared.knows_remote_load("x", net.at + LOAD_FOR)
+        assert not shared.knows_remote_load("x", net.at + REMOTE_LOAD_TTL)
 
 
 def test_the_next_host_tells_the_sums_when_the_hub_is_lost(net):
@@ -382,7 +382,7 @@
     left[0][0].tell_soon(is_urgent=False)
     net.deliver()
     net.cut.add(hub)
-    net.play(LOAD_FOR + HUB_SILENT_FOR)
+    net.play(REMOTE_LOAD_TTL + HUB_SILENT_FOR)
     assert all(shared.in_flight("t") == 1 for _, shared, _ in hosts[3:])
     assert all(shared.knows_remote_load("x", net.at) for _, shared, _ in hosts[3:])
 
