--- a/packages/plumsaddle-core/plumsaddle_core/ops/peer_table.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/peer_table.py
@@ -23,7 +23,7 @@
 
 # A host whose last word is older than this is not written to any more. Longer than a
 # restart takes, so that a restarted host is found again without a seed.
-KNOWN_FOR = 12.0
+PEER_TTL = 12.0
 # Hosts beat once a second. One that missed a beat and a half does no part for others.
 LIVE_FOR = 1.6
 # A reader must be replaced sooner: a change of the store must be known within two
@@ -125,12 +125,12 @@
     def add_candidate(self, address, now):
         """Take a host that another one named; it stays only if it is heard."""
         if address != self._address and address not in self._known:
-            self._known[address] = Neighbour(now - KNOWN_FOR / 2)
+            self._known[address] = Neighbour(now - PEER_TTL / 2)
 
     def evict_silent(self, now):
         """Forget hosts that have been silent for long."""
         known = self._known.items()
-        self._known = {a: h for a, h in known if now - h.heard_at < KNOWN_FOR}
+        self._known = {a: h for a, h in known if now - h.heard_at < PEER_TTL}
 
     # The hub.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/strangers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/strangers.py
@@ -6,7 +6,7 @@
 two data centres off from each other.
 """
 
-from plumsaddle_core.ops.peer_table import KNOWN_FOR
+from plumsaddle_core.ops.peer_table import PEER_TTL
 
 from ..utils.addresses import is_address
 
@@ -49,12 +49,12 @@
         """
         for centre in self._others & set(named):
             for address in filter(is_address, named[centre]):
-                self.remember(centre, address, now - KNOWN_FOR / 2)
+                self.remember(centre, address, now - PEER_TTL / 2)
 
     def of(self, centre, now):
         """Return the hosts of a data centre that may be up."""
         heard_at = self._heard_at.get(centre, {})
-        return [a for a, heard in heard_at.items() if now - heard < KNOWN_FOR]
+        return [a for a, heard in heard_at.items() if now - heard < PEER_TTL]
 
     def some(self, now):
         """Return a few hosts of each other data centre, by data centre."""
