--- a/packages/plumsaddle-core/plumsaddle_core/ops/registry.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/registry.py
@@ -38,7 +38,7 @@
         self._away_since = None
         self._returned_at = -math.inf
 
-    def note_store_away(self, now):
+    def note_store_unavailable(self, now):
         """Take note that the store did not answer."""
         if self._away_since is None:
             self._away_since = now
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -93,7 +93,7 @@
         self.store = Store(self._store_session, f"http://{settings.store_address}")
         registry = self.knowledge.registry
         self.store_gate = gate = Gate(
-            registry.note_store_away,
+            registry.note_store_unavailable,
             registry.note_store_back,
             registry.note_store_returned,
         )
