--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -96,7 +96,7 @@
     registry = Registry()
     registry.put(_target(1000), 1, 0.0)
     registry.note_store_unavailable(1.0)
-    registry.note_store_back(9.0)
+    registry.note_store_available(9.0)
     registry.drop(registry.missing(set(), 5), 9.1)
     former = registry.put(_target(2000), 6, 9.5)
     assert former.started_at == 1000
--- a/packages/plumsaddle-core/plumsaddle_core/ops/registry.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/registry.py
@@ -43,7 +43,7 @@
         if self._away_since is None:
             self._away_since = now
 
-    def note_store_back(self, now):
+    def note_store_available(self, now):
         """Take note that the store answers again."""
         if self._away_since is not None:
             self._away_since = None
--- a/packages/plumsaddle-core/plumsaddle_core/ops/registry_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/registry_test.py
@@ -30,7 +30,7 @@
     """
     registry = _filled(4)
     registry.note_store_unavailable(10.0)
-    registry.note_store_back(20.0)
+    registry.note_store_available(20.0)
     registry.drop({f"t{number}": 10 for number in range(4)}, 20.1)
     assert len(_ids(registry)) == 4
     registry.put(_target(1), 11, 21.0)
@@ -46,7 +46,7 @@
     """
     registry = _filled(6)
     registry.note_store_unavailable(10.0)
-    registry.note_store_back(20.0)
+    registry.note_store_available(20.0)
     registry.drop(registry.missing({f"t{n}" for n in range(5)}, 10), 20.1)
     assert _ids(registry) == {f"t{n}" for n in range(5)}
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -94,7 +94,7 @@
         registry = self.knowledge.registry
         self.store_gate = gate = Gate(
             registry.note_store_unavailable,
-            registry.note_store_back,
+            registry.note_store_available,
             registry.note_store_returned,
         )
         suspects = self.knowledge.shared.suspects
