--- a/packages/plumsaddle-core/plumsaddle_core/ops/registry.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/registry.py
@@ -49,7 +49,7 @@
             self._away_since = None
             self._returned_at = now
 
-    def note_store_returned(self, returned_at):
+    def note_store_recovery(self, returned_at):
         """Take from another host when the store came back for it."""
         self._returned_at = max(self._returned_at, returned_at)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -95,7 +95,7 @@
         self.store_gate = gate = Gate(
             registry.note_store_unavailable,
             registry.note_store_available,
-            registry.note_store_returned,
+            registry.note_store_recovery,
         )
         suspects = self.knowledge.shared.suspects
         self.stored = StoredSuspects(self.store, suspects, gate)
