--- a/packages/plumsaddle-core/plumsaddle_core/ops/route_table.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/route_table.py
@@ -7,7 +7,7 @@
 """
 
 
-def build_table(routes):
+def build_route_table(routes):
     """
     Return the table of a configuration's routes.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/route_table_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/route_table_test.py
@@ -8,7 +8,7 @@
 from hypothesis import given, strategies as st
 
 from ..core.traffic import RequestKind, Route, Share
-from .route_table import build_table, choose_service, find_route
+from .route_table import build_route_table, choose_service, find_route
 
 PARTS = st.lists(st.sampled_from(["a", "b", "ab"]), max_size=4)
 
@@ -30,12 +30,14 @@
     routes = [_route(_prefix(parts)) for parts in prefixes]
     wanted = _prefix(path) + end
     naive = [route.prefix for route in routes if wanted.startswith(route.prefix)]
-    found = find_route(build_table(routes), "records.example:80", wanted + "?q=/a/")
+    found = find_route(
+        build_route_table(routes), "records.example:80", wanted + "?q=/a/"
+    )
     assert (found.prefix if found else None) == max(naive, key=len, default=None)
 
 
 def test_other_hosts_have_no_route():
-    table = build_table([_route("/")])
+    table = build_route_table([_route("/")])
     assert find_route(table, "other.example", "/") is None
     assert find_route(table, "", "/") is None
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -26,7 +26,7 @@
 from plumsaddle_core.ops.floor import Trials
 from plumsaddle_core.ops.peer_updates import DEFERRABLE_OUTCOMES, HealthSignal
 from plumsaddle_core.ops.registry import Registry
-from plumsaddle_core.ops.route_table import build_table
+from plumsaddle_core.ops.route_table import build_route_table
 from plumsaddle_core.ops.shared_state import SharedState
 from plumsaddle_core.ops.subset import (
     MIN_SUBSET_SCORE,
@@ -160,7 +160,7 @@
             log.info("old version", extra={"version": cfg.version, "in_force": former})
             return
         self.cfg = cfg
-        self.table = build_table(cfg.routes)
+        self.table = build_route_table(cfg.routes)
         self.keys, shared = index_keys(cfg.workspaces)
         for digest in shared:
             log.error("shared key", extra={"key": show_digest(digest)})
