--- a/packages/plumsaddle-core/plumsaddle_core/ops/workspaces.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/workspaces.py
@@ -22,7 +22,7 @@
     return KeyDigest(hashlib.blake2b(key, digest_size=DIGEST_BYTES).digest())
 
 
-def show_digest(digest):
+def short_digest(digest):
     """Return the text by which a key may be shown and logged."""
     return digest.hex()[:SHOWN_DIGITS]
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/workspaces_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/workspaces_test.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ..core.traffic import Workspace
-from .workspaces import digest_of, index_keys, read_key, show_digest
+from .workspaces import digest_of, index_keys, read_key, short_digest
 
 A, B, C = (digest_of(name) for name in (b"a", b"b", b"c"))
 
@@ -54,5 +54,5 @@
 
 
 def test_a_shown_key_tells_nothing_of_it():
-    assert show_digest(digest_of(b"secret")) == digest_of(b"secret").hex()[:8]
-    assert len(show_digest(A)) == 8
+    assert short_digest(digest_of(b"secret")) == digest_of(b"secret").hex()[:8]
+    assert len(short_digest(A)) == 8
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
@@ -15,7 +15,7 @@
 from plumsaddle_core.core.traffic import Reply
 from plumsaddle_core.ops.fingerprint import MAX_HASHED_BODY
 from plumsaddle_core.ops.route_table import choose_service, find_route
-from plumsaddle_core.ops.workspaces import digest_of, read_key, show_digest
+from plumsaddle_core.ops.workspaces import digest_of, read_key, short_digest
 
 from ..front.headers import HOP_BY_HOP
 from ..platform import wire
@@ -176,7 +176,7 @@
         workspace = self._knowledge.keys.get(digest)
         if workspace is not None or route.is_public:
             return workspace, None
-        fields = {"key": show_digest(digest) if digest else None}
+        fields = {"key": short_digest(digest) if digest else None}
         age = self._knowledge.age(at)
         fields["age"] = round(age, 2)
         if key is None or age <= self._knowledge.settings.bounds.apply:
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -41,7 +41,7 @@
     request_priority,
     retries_part,
 )
-from plumsaddle_core.ops.workspaces import index_keys, show_digest
+from plumsaddle_core.ops.workspaces import index_keys, short_digest
 
 from ..platform import wire
 from .clock import now
@@ -163,7 +163,7 @@
         self.table = build_route_table(cfg.routes)
         self.keys, shared = index_keys(cfg.workspaces)
         for digest in shared:
-            log.error("shared key", extra={"key": show_digest(digest)})
+            log.error("shared key", extra={"key": short_digest(digest)})
         self.shared.quotas.configure(cfg.workspaces, now())
         self._ranks = priorities_by_service(cfg.routes, cfg.workspaces)
         names = {route.name for route in cfg.routes}
