--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency.py
@@ -68,7 +68,7 @@
     return 1.0 - ranks.index(rank) / (len(ranks) - 1)
 
 
-def retries_part(urgent):
+def usable_retry_share(urgent):
     """Return the part of the retries that a request of an urgency may use up."""
     return RETRIES_LEAST + (1.0 - RETRIES_LEAST) * urgent
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
@@ -12,7 +12,7 @@
     priorities_by_service,
     relative_urgency,
     request_priority,
-    retries_part,
+    usable_retry_share,
 )
 
 
@@ -69,11 +69,11 @@
     share = CentreRetryBudget(0.2, 10.0)
     share.note_requests(1000, 0.0)
     spent = 0
-    while share.may_retry(0.0, 1.0, retries_part(0.0)):
+    while share.may_retry(0.0, 1.0, usable_retry_share(0.0)):
         share.note_retries(1, 1.0)
         spent += 1
     left = 0
-    while share.may_retry(0.0, 1.0, retries_part(1.0)):
+    while share.may_retry(0.0, 1.0, usable_retry_share(1.0)):
         share.note_retries(1, 1.0)
         left += 1
     assert left >= 0.25 * (spent + left)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -39,7 +39,7 @@
     priorities_by_service,
     relative_urgency,
     request_priority,
-    retries_part,
+    usable_retry_share,
 )
 from plumsaddle_core.ops.workspaces import index_keys, short_digest
 
@@ -397,7 +397,7 @@
         """
         centres = max(1, len(self.settings.centres))
         extra = self.settings.bounds.retry_extra / centres
-        return self.shared.may_retry(service, extra, now(), retries_part(urgent))
+        return self.shared.may_retry(service, extra, now(), usable_retry_share(urgent))
 
     # What the relay tells.
 
