--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency.py
@@ -73,6 +73,6 @@
     return RETRIES_LEAST + (1.0 - RETRIES_LEAST) * urgent
 
 
-def patience(urgent):
+def max_wait_share(urgent):
     """Return the part of its time left that a request may spend at a full target."""
     return PATIENCE_LEAST + (1.0 - PATIENCE_LEAST) * urgent
--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
@@ -8,7 +8,7 @@
 from .centre_retry_budget import CentreRetryBudget
 from .urgency import (
     RequestPriority,
-    patience,
+    max_wait_share,
     priorities_by_service,
     relative_urgency,
     request_priority,
@@ -80,4 +80,4 @@
 
 
 def test_the_less_urgent_is_refused_sooner():
-    assert patience(0.0) < patience(0.5) < patience(1.0) == 1.0
+    assert max_wait_share(0.0) < max_wait_share(0.5) < max_wait_share(1.0) == 1.0
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -16,7 +16,7 @@
 from plumsaddle_core.core.traffic import Reply, SendOutcome
 from plumsaddle_core.limits.targets import max_token_wait
 from plumsaddle_core.ops.attempt import NOT_SENT, Attempt
-from plumsaddle_core.ops.urgency import patience
+from plumsaddle_core.ops.urgency import max_wait_share
 
 from .clock import now
 from .refusals import Cause, Refusal
@@ -488,7 +488,9 @@
     """
     candidate = choice.candidate
     is_full = candidate.in_flight >= candidate.target.slots
-    return is_full and choice.expected_duration >= demand.time_left * patience(urgent)
+    return is_full and choice.expected_duration >= demand.time_left * max_wait_share(
+        urgent
+    )
 
 
 def _is_worth_hedging(choice):
