--- a/packages/plumsaddle-core/plumsaddle_core/ops/attempt.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/attempt.py
@@ -59,7 +59,7 @@
             return False
         return self.kind.is_idempotent or not (self.may_have_run or self._outstanding)
 
-    def may_promise(self):
+    def is_known_not_run(self):
         """Return whether it is true that the request has not run and never will."""
         return not (self.may_have_run or self._outstanding)
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/attempt_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/attempt_test.py
@@ -78,7 +78,7 @@
 
     @invariant()
     def promises_are_true(self):
-        assert self.attempt.may_promise() == (not self._may_have_run())
+        assert self.attempt.is_known_not_run() == (not self._may_have_run())
 
     @invariant()
     def what_must_not_repeat_is_sent_once_more_only_if_it_did_not_run(self):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -248,7 +248,7 @@
         """Return the answer after the last send that was possible."""
         if result.reply is not None and self._is_passable(result):
             return self._log_answer(result)
-        if self._attempt.may_promise():
+        if self._attempt.is_known_not_run():
             return self._refuse(Cause.NOT_TAKEN)
         return self._refuse(Cause.TARGET_FAILED)
 
@@ -264,7 +264,7 @@
         return result.reply.status not in (408, 421, 429, 503)
 
     def _give_up(self, cause):
-        if cause is Cause.TIME_OVER and self._attempt.may_promise():
+        if cause is Cause.TIME_OVER and self._attempt.is_known_not_run():
             return self._refuse(Cause.NO_ROOM)
         return self._refuse(cause)
 
@@ -286,7 +286,7 @@
         )
         self._metrics.refusals.inc({"cause": cause.value})
         pause = self._pause() if pause is None else pause
-        return Refusal(cause, not self._attempt.may_promise(), pause)
+        return Refusal(cause, not self._attempt.is_known_not_run(), pause)
 
     def _pause(self):
         """Return the seconds after which there is likely room again."""
@@ -336,7 +336,10 @@
             return None
         if choice is None:
             return self._refuse_without_target(at)
-        if _has_no_room(choice, demand, ask.urgency) and self._attempt.may_promise():
+        if (
+            _has_no_room(choice, demand, ask.urgency)
+            and self._attempt.is_known_not_run()
+        ):
             return self._refuse(Cause.NO_ROOM)
         target = choice.candidate.target
         if retry_cause is not None and self._attempt.sends:
