--- a/packages/plumsaddle-core/plumsaddle_core/ops/attempt.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/attempt.py
@@ -88,7 +88,7 @@
         elif not self._outstanding:
             self.stage = Stage.OPEN if self.may_have_run else Stage.REFUSED
 
-    def take_back(self, target):
+    def undo_send(self, target):
         """Undo a send to a target's id of which no byte has gone out."""
         assert self._outstanding, "a send was taken back that was never begun"
         self._outstanding -= 1
--- a/packages/plumsaddle-core/plumsaddle_core/ops/attempt_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/attempt_test.py
@@ -66,7 +66,7 @@
     @precondition(lambda self: self.open)
     @rule()
     def take_back(self):
-        self.attempt.take_back(self.open.pop())
+        self.attempt.undo_send(self.open.pop())
 
     @rule()
     def wait(self):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -419,7 +419,7 @@
             stuck.cancel()
             self._knowledge.end(target)
             if fate in NOT_SENT:
-                self._attempt.take_back(target.id)
+                self._attempt.undo_send(target.id)
                 self._knowledge.limits.release(target)
             else:
                 self._attempt.note_fate(fate)
