--- a/packages/plumsaddle-core/plumsaddle_core/ops/pacing.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/pacing.py
@@ -87,7 +87,7 @@
         datagrams = self._urgent if is_urgent else self._calm
         return max(self._bytes.wait(is_urgent, now), datagrams.wait(False, now))
 
-    def has_bytes(self, now):
+    def has_bandwidth(self, now):
         """Return whether the link has room for more."""
         return self._bytes.wait(False, now) <= 0.0
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -345,7 +345,7 @@
     def _is_sums_due(self, at):
         """Whether to tell clients what is in flight elsewhere; small links wait."""
         age = at - self._summed_at
-        has_room = self._allowances.has_bytes(at)
+        has_room = self._allowances.has_bandwidth(at)
         return age >= SUMS_MOST or (age >= SUMS_EVERY and has_room)
 
     def tell_page(self, topic, page):
