--- a/packages/plumsaddle-core/plumsaddle_core/ops/pacing.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/pacing.py
@@ -62,7 +62,7 @@
         self._at = now
 
 
-class Allowances:
+class SendPacer:
     """
     All that bounds what a host tells: bytes, datagrams, and datagrams of urgent news.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/pacing_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/pacing_test.py
@@ -12,7 +12,7 @@
     TOLD_DATAGRAMS,
     TOLD_SHARE,
     Allowance,
-    Allowances,
+    SendPacer,
     told_rate,
 )
 
@@ -115,11 +115,11 @@
 
     The hub had used up its datagrams for other news when the first failure came.
     """
-    allowances = Allowances(None)
+    allowances = SendPacer(None)
     spent = TOLD_DATAGRAMS * SAVED_FOR + 60
     allowances.spend(spent, 0, 0.0)
     assert allowances.wait(False, 0.0) == pytest.approx(60 / TOLD_DATAGRAMS)
     assert allowances.wait(True, 0.0) == 0.0
-    unbounded = Allowances(None, is_bounded=False)
+    unbounded = SendPacer(None, is_bounded=False)
     unbounded.spend(1_000_000, 1_000_000, 0.0)
     assert unbounded.wait(False, 0.0) == 0.0
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -24,7 +24,7 @@
 
 from plumsaddle_core.core.parts import Feature
 from plumsaddle_core.limits.advertised import MAX_ROWS
-from plumsaddle_core.ops.pacing import Allowances
+from plumsaddle_core.ops.pacing import SendPacer
 from plumsaddle_core.ops.peer_table import PeerTable
 
 from ..utils.addresses import split_address
@@ -100,7 +100,7 @@
         # restarted host would look older than it was and be ignored.
         self._life = secrets.randbits(48)
         is_bounded = Feature.BANDWIDTH_LIMIT not in settings.disabled_features
-        self._allowances = Allowances(settings.link_rate, is_bounded)
+        self._allowances = SendPacer(settings.link_rate, is_bounded)
         self._counted_at = 0.0
         self._number = 0
         # When the last messages to the hub were sent, by number.
