--- a/packages/plumsaddle-core/plumsaddle_core/ops/centre_retry_budget.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/centre_retry_budget.py
@@ -17,7 +17,7 @@
 # Part of the allowance that is spent. Windows slide, the platform counts arrivals at
 # targets a little later than hosts count their sends, and hosts spend at one moment
 # without knowing of each other.
-SPENT_PART = 0.8
+SAFETY_FACTOR = 0.8
 
 
 class CentreRetryBudget:
@@ -54,7 +54,7 @@
         """
         requests = self._requests.total(now - self.window)
         retries = self._retries.total(now - self.window)
-        return retries + 1 <= (self.ratio * requests + extra) * SPENT_PART * part
+        return retries + 1 <= (self.ratio * requests + extra) * SAFETY_FACTOR * part
 
 
 class _Counted:
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
@@ -5,7 +5,7 @@
 import random
 
 from ..core.traffic import RequestKind, Target, TargetState
-from .centre_retry_budget import SPENT_PART, CentreRetryBudget
+from .centre_retry_budget import SAFETY_FACTOR, CentreRetryBudget
 from .choice import Candidate, RequestProfile, choose_target
 from .peer_updates import Counts, HealthSignal, OutcomeRecord, PeerUpdate, tag_of
 from .route_times import DEFAULT_DURATION
@@ -173,7 +173,7 @@
                 news = _news(step, counts={"look": counts[index]}, host=str(index))
                 peer.apply_update(news, at)
     assert retries <= 0.2 * requests + 20
-    assert retries > 0.6 * SPENT_PART * (0.2 * requests + 20)
+    assert retries > 0.6 * SAFETY_FACTOR * (0.2 * requests + 20)
 
 
 def test_a_restarted_host_spends_nothing_twice():
