--- a/packages/plumsaddle-core/plumsaddle_core/limits/__init__.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/__init__.py
@@ -1,3 +1,3 @@
 """
-How much may be sent: rate limits that hold over all hosts together.
+Rate limits of workspaces and targets that all hosts enforce together.
 """
--- a/packages/plumsaddle-core/plumsaddle_core/limits/advertised.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/advertised.py
@@ -1,14 +1,14 @@
 """
-The rate limits that targets name in their answers, replicated among hosts.
+The rate limits that targets advertise in their answers, replicated among hosts.
 
-Each host observes some answers and the hosts gossip what changed. An entry carries a
-Lamport version: a host that observes something else than it knows writes the next
+Each host observes some answers, and the hosts gossip changed entries. An entry carries
+a Lamport version: a host that observes another limit than its entry's writes the next
 version. Of two entries with the same version the stricter one wins, so all hosts
 converge to the same limit in whichever order messages arrive.
 
-A looser limit, or none, is believed only from an answer to a request that was sent
-after the stricter one was known. The answer to an earlier request may have been given
-before.
+A looser limit, or none, is accepted only from an answer to a request that was sent
+after the stricter one was known. An answer to an earlier request may be older than the
+stricter limit.
 """
 
 import math
@@ -16,11 +16,11 @@
 
 from ..core.ids import TargetIncarnation
 
-# The rate of an entry that says that a target names no limit any more.
+# The rate of an entry whose target no longer advertises a limit.
 NO_LIMIT = -1.0
-# Messages in which a changed entry goes out: datagrams are lost now and then.
+# Messages in which a changed entry is sent, since datagrams may be lost.
 SENDS_PER_CHANGE = 2
-# Entries of one message at most; the others follow with the next one.
+# Maximum entries per message; the others are sent with the next one.
 MAX_ROWS = 40
 # Seconds after which the entry of an incarnation that is no longer listed is dropped.
 UNLISTED_TIMEOUT = 60.0
@@ -28,7 +28,7 @@
 
 class LimitRow(NamedTuple):
     """
-    An entry as hosts gossip it.
+    An entry in a gossip message.
 
     `rate` is in requests a second over all hosts, or `NO_LIMIT`.
     """
@@ -39,20 +39,20 @@
 
 
 class _Entry:
-    """What is known of one incarnation of a target."""
+    """The limit of one incarnation of a target."""
 
     __slots__ = ("known_at", "rate", "since", "version")
 
     def __init__(self):
         self.version = 0
         self.rate = NO_LIMIT
-        # When this host came to know the present rate, and since when there is a limit.
+        # When this host learned the present rate, and since when there is a limit.
         self.known_at = self.since = -math.inf
 
 
 class AdvertisedLimits:
     """
-    The limits in force, as one host knows them.
+    The advertised limits known to one host.
 
     `revision` counts the changes.
     """
@@ -63,55 +63,57 @@
         self._limited = {}
         self._local_pending = {}
         self._remote_pending = {}
-        # Since when incarnations with an entry have not been listed.
+        # Since when incarnations with an entry have been unlisted.
         self._unlisted_since = {}
 
     def __len__(self):
         return len(self._limited)
 
-    def rate(self, life):
+    def rate(self, incarnation):
         """Return the limit of a target in requests a second, or None."""
-        return self._limited.get(life)
+        return self._limited.get(incarnation)
 
-    def since(self, life):
+    def since(self, incarnation):
         """Return when a target's limit became known, in seconds."""
-        return self._entries[life].since
+        return self._entries[incarnation].since
 
-    def observe(self, life, rate, sent_at, now):
+    def observe(self, incarnation, rate, sent_at, now):
         """
-        Take what an answer named.
+        Record the limit, if any, of an answer.
 
         Args:
           life: The target's incarnation.
-          rate: The limit in requests a second, or None if the answer names none.
+          rate: The limit in requests a second, or None if the answer has none.
           sent_at: When the request was sent, in seconds.
           now: The present, in seconds.
         Returns:
-          Whether it is another limit than before.
+          Whether the limit has changed.
         """
-        named = NO_LIMIT if rate is None else rate
-        entry = self._entries.get(life)
-        known = NO_LIMIT if entry is None else entry.rate
-        if named == known:
+        advertised = NO_LIMIT if rate is None else rate
+        entry = self._entries.get(incarnation)
+        current = NO_LIMIT if entry is None else entry.rate
+        if advertised == current:
             return False
-        if _is_stricter(known, named) and sent_at < entry.known_at:
+        if _is_stricter(current, advertised) and sent_at < entry.known_at:
             return False
         version = 1 if entry is None else entry.version + 1
-        self._apply(LimitRow(life, version, named), now)
-        self._local_pending[life] = self._remote_pending[life] = SENDS_PER_CHANGE
+        self._apply(LimitRow(incarnation, version, advertised), now)
+        self._local_pending[incarnation] = self._remote_pending[incarnation] = (
+            SENDS_PER_CHANGE
+        )
         return True
 
     def merge(self, row, is_local, now):
         """
-        Take an entry that another host told.
+        Merge an entry that another host sent.
 
         Args:
           row: The `LimitRow`.
-          is_near: Whether a host of this data centre told it, so that this data centre
-            tells it to the others.
+          is_local: Whether a host of this data centre sent it; then this data centre
+            forwards it to the others.
           now: The present, in seconds.
         Returns:
-          Whether it was newer than what was known.
+          Whether it was newer than this host's entry.
         """
         entry = self._entries.get(row.incarnation)
         if entry is not None and row.version <= entry.version:
@@ -140,11 +142,11 @@
             self._limited[row.incarnation] = row.rate
         self.revision += 1
 
-    # What is gossiped.
+    # Sending.
 
     @property
     def has_remote_pending(self):
-        """Whether other data centres have not been told of some change."""
+        """Whether changes remain to be sent to other data centres."""
         return bool(self._remote_pending)
 
     def local_rows(self):
@@ -157,46 +159,57 @@
 
     def anti_entropy_rows(self, max_rows, rng):
         """
-        Return some of all entries, drawn anew each time.
+        Return a random sample of all entries, for anti-entropy.
 
-        Hosts that have just started, or have missed a message, learn from these.
+        It brings hosts up to date that have just started or missed messages.
 
         Args:
-          most: How many at most.
+          max_rows: The maximum number of entries.
           rng: A `random.Random`.
         """
-        lives = list(self._entries)
-        if len(lives) > max_rows:
-            lives = rng.sample(lives, max_rows)
-        return [self._row(life) for life in lives]
+        incarnations = list(self._entries)
+        if len(incarnations) > max_rows:
+            incarnations = rng.sample(incarnations, max_rows)
+        return [self._row(incarnation) for incarnation in incarnations]
 
     def _take_pending(self, pending):
-        lives = list(pending)[:MAX_ROWS]
-        for life in lives:
-            pending[life] -= 1
-            if not pending[life]:
-                del pending[life]
-        return [self._row(life) for life in lives if life in self._entries]
-
-    def _row(self, life):
-        entry = self._entries[life]
-        return LimitRow(life, entry.version, entry.rate)
+        incarnations = list(pending)[:MAX_ROWS]
+        for incarnation in incarnations:
+            pending[incarnation] -= 1
+            if not pending[incarnation]:
+                del pending[incarnation]
+        return [
+            self._row(incarnation)
+            for incarnation in incarnations
+            if incarnation in self._entries
+        ]
+
+    def _row(self, incarnation):
+        entry = self._entries[incarnation]
+        return LimitRow(incarnation, entry.version, entry.rate)
 
     def evict(self, listed, now):
         """
-        Drop the entries of incarnations that have not been listed for a while.
+        Drop the entries of incarnations that have been unlisted for a while.
 
-        While the platform's store is away entries lapse of targets that are alive, and
-        these still have their limits when they are listed again.
+        While the platform's store is unavailable, listings of running targets expire;
+        their limits are kept until they are listed again.
         """
         unlisted = self._entries.keys() - listed
-        since = {life: self._unlisted_since.get(life, now) for life in unlisted}
-        gone = [life for life, at in since.items() if now - at >= UNLISTED_TIMEOUT]
-        for life in gone:
-            del since[life]
-            del self._entries[life]
-            for kept in (self._limited, self._local_pending, self._remote_pending):
-                kept.pop(life, None)
+        since = {
+            incarnation: self._unlisted_since.get(incarnation, now)
+            for incarnation in unlisted
+        }
+        expired = [
+            incarnation
+            for incarnation, at in since.items()
+            if now - at >= UNLISTED_TIMEOUT
+        ]
+        for incarnation in expired:
+            del since[incarnation]
+            del self._entries[incarnation]
+            for entries in (self._limited, self._local_pending, self._remote_pending):
+                entries.pop(incarnation, None)
             self.revision += 1
         self._unlisted_since = since
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/bucket.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/bucket.py
@@ -1,18 +1,17 @@
 """
-A token bucket whose rate may change.
+A token bucket with an adjustable rate.
 """
 
 
 class TokenBucket:
     """
-    Tokens that accrue at a rate, up to a capacity.
+    A token bucket that refills at a rate, up to a capacity.
 
-    It starts empty: a host that takes over a part of a rate limit does not know what
-    the former holder has just sent.
+    It starts empty, since the previous holder of a share may have just used it up.
 
     Args:
       rate: Tokens a second.
-      capacity: The most tokens that it holds.
+      capacity: The maximum number of tokens.
       now: The present, in seconds.
     """
 
@@ -25,12 +24,12 @@
         self._updated_at = now
 
     def tokens(self, now):
-        """Return how many tokens there are."""
+        """Return the number of tokens, negative if some are reserved."""
         accrued = self.rate * max(0.0, now - self._updated_at)
         return min(self.capacity, self._tokens + accrued)
 
     def set_rate(self, rate, capacity, now):
-        """Change the rate and the capacity; tokens that fit are kept."""
+        """Change the rate and the capacity; excess tokens are dropped."""
         self._tokens = min(capacity, self.tokens(now))
         self._updated_at = now
         self.rate = rate
@@ -42,10 +41,10 @@
         self._updated_at = now
 
     def release(self, now):
-        """Put back a token that was not used."""
+        """Return an unused token."""
         self._tokens = min(self.capacity, self.tokens(now) + 1.0)
         self._updated_at = now
 
     def wait(self, now):
-        """Return the seconds until there is a token that is not reserved."""
+        """Return the seconds until an unreserved token is available."""
         return max(0.0, 1.0 - self.tokens(now)) / self.rate
--- a/packages/plumsaddle-core/plumsaddle_core/limits/liveness.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/liveness.py
@@ -192,8 +192,8 @@
 
     def local_hosts(self):
         """Return the `HostCount` of this host's data centre."""
-        missing = sum(1 for source in self._local.values() if source.is_unreachable)
-        return HostCount(1 + len(self._local) - missing, missing)
+        unreachable = sum(1 for source in self._local.values() if source.is_unreachable)
+        return HostCount(1 + len(self._local) - unreachable, unreachable)
 
     def host_count(self):
         """Return the number of tracked hosts, including this one."""
--- a/packages/plumsaddle-core/plumsaddle_core/limits/membership.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/membership.py
@@ -3,7 +3,7 @@
 
 An unreachable host may have crashed or may be partitioned and still sending, so its
 share stays reserved for some seconds. A host stops using its shares before the others
-give them away: its lease is the last message of its own that it knows has reached them.
+reassign them: its lease starts with its last message that is known to be delivered.
 """
 
 import math
@@ -11,20 +11,20 @@
 from .meter import DecayingSum
 from .shares import HostDemand
 
-# Seconds without a message after which a host's share goes to the others.
+# Seconds without a message after which a host's share is reassigned.
 MEMBER_TIMEOUT = 12.0
-# Seconds since its last message that reached others after which a host stops sending
-# to limited targets. Shorter than `MEMBER_FOR` by more than a message takes.
+# Seconds since its last delivered message after which a host stops sending to limited
+# targets. Shorter than `MEMBER_TIMEOUT` by more than the delay of a message.
 LEASE_DURATION = 8.0
-# Seconds without a message after which the demand of a host is taken to be as before.
+# Seconds without a message after which a host's last known demand is kept.
 UNREACHABLE_TIMEOUT = 2.0
-# Seconds that a host waits after it has heard the first other one. Until then it has
-# not heard of all others, and knows little of what callers send to each.
+# Seconds that a host waits after its first message from another one. Before that it
+# does not know all hosts and their demand.
 JOIN_DELAY = 3.0
-# Seconds without a word of any other host after which a host takes itself for the only
-# one of its data centre.
+# Seconds without a message of any other host after which a host assumes that it is the
+# only one of its data centre.
 SOLE_HOST_TIMEOUT = 60.0
-# The same for one that has heard nobody since its start.
+# The same for a host that has received no message since its start.
 STARTUP_SOLE_HOST_TIMEOUT = 10.0
 # Seconds over which the demand for a service is averaged.
 DEMAND_WINDOW = 5.0
@@ -40,14 +40,14 @@
         self.demand = {}
 
     def resume(self, now):
-        """Take the demand of before a partition for that of now."""
+        """Restore the demand from before a partition."""
         for total in self.demand.values():
             total.add(total.at(self.last_message_at) - total.at(now), now)
 
 
 class Membership:
     """
-    The hosts of the data centre, as one of them knows them.
+    The hosts of the data centre that are known to one of them.
 
     Args:
       own: The host's own id.
@@ -66,7 +66,7 @@
         self._last_delivered_at = -math.inf
 
     def note_host(self, host, now):
-        """Note that another host was heard."""
+        """Note a message of another host."""
         if now - self._last_message_at > MEMBER_TIMEOUT:
             self._joined_at = now
         member = self._members.get(host)
@@ -77,21 +77,21 @@
         member.last_message_at = self._last_message_at = now
 
     def note_demand(self, host, service, count, now):
-        """Note requests for a service that callers sent to another host."""
+        """Count requests for a service that callers sent to another host."""
         member = self._members.get(host)
         if member is not None:
             _add(member.demand, service, count, now)
 
     def note_own_demand(self, service, count, now):
-        """Note requests for a service that callers sent to this host."""
+        """Count requests for a service that callers sent to this host."""
         _add(self._own_demand, service, count, now)
 
     def note_delivered(self, sent_at):
-        """Note that a message sent at a moment has reached the other hosts."""
+        """Note that a message sent at `sent_at` was delivered to other hosts."""
         self._last_delivered_at = max(self._last_delivered_at, sent_at)
 
     def evict(self, now):
-        """Drop hosts whose share has gone to the others."""
+        """Drop hosts whose share is reassigned."""
         if any(
             now - m.last_message_at > MEMBER_TIMEOUT for m in self._members.values()
         ):
@@ -118,9 +118,9 @@
         """Return the `HostDemand` of each host of the data centre for a service."""
         demands = [HostDemand(self.own, _read(self._own_demand, service, now))]
         for host, member in self._members.items():
-            # An unreachable host is taken to be asked as much as before.
-            at = member.last_message_at
-            demands.append(HostDemand(host, _read(member.demand, service, at)))
+            # An unreachable host is assumed to have the same demand as before.
+            as_of = member.last_message_at
+            demands.append(HostDemand(host, _read(member.demand, service, as_of)))
         return demands
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -275,17 +275,17 @@
 
     # Receiving.
 
-    def merge_local(self, host, life, rows, now):
+    def merge_local(self, host, incarnation, rows, now):
         """
         Merge a message of a host of this data centre; it may be without rows.
 
         Args:
           host: The host's id.
-          life: The host's incarnation, drawn at random at each start.
+          incarnation: A number drawn at random at each start of the host.
           rows: The `QuotaRow`s.
           now: The present, in seconds.
         """
-        source = self._liveness.note_host(host, life, now)
+        source = self._liveness.note_host(host, incarnation, now)
         for row in rows:
             state = self._get_state(row[0], now)
             if state is not None:
--- a/packages/plumsaddle-core/plumsaddle_core/limits/shares.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/shares.py
@@ -1,13 +1,13 @@
 """
 Which hosts may send to targets with a rate limit, and how much each.
 
-The limited targets of one service in a data centre are laid out on a line, each as long
-as its rate, and the hosts of the data centre beside them, each as long as its share of
-the demand. A host may send to the targets beside it, at the rate of the overlap. The
-shares of a target add up to its limit, few hosts have a share in it, and every host has
-one in some target while the rates allow for one request a second and host; below that,
-fewer hosts take part, some at least. All hosts compute the same layout from what they
-know of each other, so no counting and no permission passes between them.
+The limited targets of a service in a data centre are mapped to intervals on a line,
+each as long as its rate. The hosts of the data centre are mapped to the same line, each
+in proportion to its demand. A host may send to the targets whose intervals overlap its
+own, at the rate of the overlap. So the shares of a target add up to its limit, few
+hosts have a share in it, and every host has a share in some target while the rates
+allow one request a second per host. At lower rates only some hosts have shares. All
+hosts compute the same layout from the gossiped demand, without further coordination.
 """
 
 import functools
@@ -17,26 +17,26 @@
 
 from ..core.ids import HostId, TargetIncarnation
 
-# Seconds of the limits that allow for one request of each host that takes part.
-# Each of them may hold a token, so it bounds the burst.
+# Seconds in which the limits allow one request of each selected host. Each of these may
+# hold a token, so this bounds the burst.
 REQUEST_INTERVAL = 1.0
-# Hosts that take part however low the limits are: one alone seldom receives as many
-# requests as a limit allows.
+# Hosts selected however low the limits are, since a single one seldom receives enough
+# requests to use a limit.
 MIN_HOSTS = 4
-# The part of the demand that counts as spread equally, so that a host whose callers
-# have just come has a share.
+# The fraction of the demand that is assumed to be spread equally, so that a host whose
+# first callers have just arrived has a share.
 EQUAL_FRACTION = 0.1
 
 
 class HostDemand(NamedTuple):
-    """A host, and the requests a second that callers send it for a service."""
+    """A host, and its demand for a service in requests a second."""
 
     host: HostId
     demand: float
 
 
 class LimitedTarget(NamedTuple):
-    """A target, and the requests a second that it takes from all hosts."""
+    """A target, and its limit over all hosts in requests a second."""
 
     incarnation: TargetIncarnation
     rate: float
@@ -44,15 +44,15 @@
 
 def compute_shares(targets, hosts, own):
     """
-    Return the shares of one host.
+    Compute the shares of one host.
 
     Args:
       targets: The `LimitedTarget`s of a service in the host's data centre.
       hosts: The `HostDemand` of each host there, the host itself included.
       own: The host's id.
     Returns:
-      By incarnation the requests a second that the host may send, without those to
-      which it may send none.
+      The requests a second that the host may send, by target incarnation. Targets in
+      which it has no share are left out.
     """
     total = sum(target.rate for target in targets)
     weights = _select_hosts(hosts, total)
@@ -60,34 +60,34 @@
         return {}
     start, end = _find_span(weights, own, total)
     shares = {}
-    at = 0.0
+    position = 0.0
     for target in sorted(targets, key=lambda t: (_hash(t.incarnation), t.incarnation)):
-        overlap = min(end, at + target.rate) - max(start, at)
-        at += target.rate
+        overlap = min(end, position + target.rate) - max(start, position)
+        position += target.rate
         if overlap > 0.0:
             shares[target.incarnation] = overlap
     return shares
 
 
 def _select_hosts(hosts, total):
-    """Return the weights of the hosts that take part, by id."""
-    mean = sum(demand for _, demand in hosts) / len(hosts)
-    equal = EQUAL_FRACTION * mean if mean else 1.0
+    """Return the weights of the hosts that have shares, by id."""
+    mean_demand = sum(demand for _, demand in hosts) / len(hosts)
+    equal = EQUAL_FRACTION * mean_demand if mean_demand else 1.0
     weights = {host: demand + equal for host, demand in hosts}
-    most = max(MIN_HOSTS, int(total * REQUEST_INTERVAL))
-    if len(weights) <= most:
+    max_hosts = max(MIN_HOSTS, int(total * REQUEST_INTERVAL))
+    if len(weights) <= max_hosts:
         return weights
-    picked = sorted(weights, key=lambda host: _score(host, weights[host]))[:most]
-    return {host: weights[host] for host in picked}
+    selected = sorted(weights, key=lambda host: _score(host, weights[host]))[:max_hosts]
+    return {host: weights[host] for host in selected}
 
 
 def _score(host, weight):
-    """Return a host's place in weighted rendezvous hashing, the lowest first."""
+    """Return a host's score in weighted rendezvous hashing; the lowest win."""
     return -math.log((_hash(host) + 1) / (2**32 + 1)) / weight
 
 
 def _find_span(weights, own, total):
-    """Return where a host's part of the line begins and ends."""
+    """Return the start and end of a host's interval."""
     scale = total / sum(weights.values())
     start = 0.0
     for host in sorted(weights, key=lambda h: (_hash(h), h)):
--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
@@ -1,12 +1,12 @@
 """
-The rate limits of targets, as one host keeps them.
-
-Only hosts of a target's own data centre send to it while it names a limit; others have
-targets of their own, and what hosts know of each other passes between data centres too
-slowly to share a rate of some requests a second. Each host paces its share by a token
-bucket, and where no other target would do, a request may wait for its next token. A
-target is sent a request now and then even at a limit of zero: nothing else would show
-that the limit has ended.
+The rate limits of targets on one host.
+
+While a target advertises a limit, only hosts of its own data centre send to it. Hosts
+of other data centres have targets of their own, and gossip between data centres is too
+slow to share a rate of a few requests a second. Each host enforces its share by a token
+bucket, and if no other target is usable, a request may wait for the next token. Even at
+a limit of zero a target is sent a request now and then, since only an answer shows that
+the limit has ended.
 """
 
 import random
@@ -15,18 +15,18 @@
 from .bucket import TokenBucket
 from .shares import LimitedTarget, compute_shares
 
-# Requests a second that a target is sent at least over all hosts.
+# The minimum rate over all hosts at which a target is sent requests.
 MIN_RATE = 0.2
-# Seconds between two looks at the demand that shares follow.
+# Seconds between two updates of the shares from the demand.
 SHARES_INTERVAL = 1.0
-# Tokens of a bucket at least, and the seconds of a share that it holds.
+# The minimum capacity of a bucket in tokens, and its capacity in seconds of the share.
 MIN_CAPACITY = 1.0
 CAPACITY_SECONDS = 0.5
-# The most seconds that the most urgent request waits for a token, and the most of the
-# time that its objective leaves beside its work. The least urgent one does not wait.
+# The maximum wait of the most urgent request for a token: in seconds, and as a fraction
+# of the time that its latency objective leaves. The least urgent one does not wait.
 MAX_WAIT = 1.0
 MAX_WAIT_FRACTION = 0.5
-# The longest time after which a refused caller is told to return, in seconds.
+# The maximum retry delay for a refused caller, in seconds.
 MAX_RETRY_AFTER = 10.0
 
 
@@ -38,7 +38,7 @@
     def __init__(self):
         self.key = None
         self.buckets = {}
-        # Requests a second that all limited targets near by take.
+        # The rate of all limited targets of the data centre, in requests a second.
         self.total_rate = 0.0
 
 
@@ -47,70 +47,72 @@
     The limits of targets on one host.
 
     Args:
-      roster: The `Roster` of the host's data centre.
-      rng: A `random.Random`, which spreads the callers that are refused.
+      membership: The `Membership` of the host's data centre.
+      rng: A `random.Random`, which spreads the retries of refused callers.
     """
 
-    def __init__(self, roster, rng=random):
+    def __init__(self, membership, rng=random):
         self.advertised = AdvertisedLimits()
-        self.membership = roster
+        self.membership = membership
         self._rng = rng
         self._services = {}
 
-    def admissible(self, targets, centre, longest, revision, now):
+    def admissible(self, targets, centre, max_wait, revision, now):
         """
-        Return the targets to which a request may be sent in time.
+        Return the targets to which a request may be sent within `max_wait`.
 
         Args:
           targets: The usable `Target`s of one service.
           centre: The host's data centre.
-          longest: The most seconds that the request may wait for a token.
-          revision: Grows with each change of what is listed.
+          max_wait: The maximum seconds that the request may wait for a token.
+          revision: The revision of the list of targets.
           now: The present, in seconds.
         """
         if not self.advertised or not targets:
             return targets
-        named = self.advertised
-        if not any(named.rate(target.incarnation) is not None for target in targets):
+        advertised = self.advertised
+        if not any(
+            advertised.rate(target.incarnation) is not None for target in targets
+        ):
             return targets
         buckets = self._refresh_service(targets, centre, revision, now).buckets
         return [
             target
             for target in targets
-            if named.rate(target.incarnation) is None
+            if advertised.rate(target.incarnation) is None
             or (
                 target.incarnation in buckets
-                and buckets[target.incarnation].wait(now) <= longest
+                and buckets[target.incarnation].wait(now) <= max_wait
             )
         ]
 
     def wait(self, target, now):
-        """Return the seconds until a request may be sent to an admitted target."""
+        """Return the seconds until a request may be sent to an admissible target."""
         if self.advertised.rate(target.incarnation) is None:
             return 0.0
         bucket = self._bucket(target)
         return bucket.wait(now) if bucket is not None else 0.0
 
     def acquire(self, target, now):
-        """Count a request that is sent to a target, or will be after its wait."""
+        """Take a token for a request that is sent now or after its wait."""
         bucket = self._bucket(target)
         if bucket is not None:
             bucket.acquire(now)
 
     def release(self, target, now):
-        """Take back a request that was not sent after all."""
+        """Return the token of a request that was not sent."""
         bucket = self._bucket(target)
         if bucket is not None:
             bucket.release(now)
 
     def retry_after(self, targets, centre, revision, now):
         """
-        Return the seconds after which a refused caller may find room.
+        Return the seconds after which a refused caller should retry.
 
-        Callers that are refused together are told different times: the further demand
-        exceeds the limits, the wider apart.
+        The retries of callers that are refused together are spread over time, in
+        proportion to the ratio of the demand to the limits.
 
-        Args: as for `admits`.
+        Args: as for `admissible`.
         """
         service = self._refresh_service(targets, centre, revision, now)
         waits = [bucket.wait(now) for bucket in service.buckets.values()]
@@ -125,7 +127,7 @@
         return service.buckets.get(target.incarnation) if service is not None else None
 
     def _refresh_service(self, targets, centre, revision, now):
-        """Return the `_Service` of targets, its shares brought up to date."""
+        """Return the `_ServiceLimits` of targets, with updated shares."""
         name = targets[0].service
         service = self._services.get(name)
         if service is None:
@@ -153,25 +155,25 @@
 
 def max_token_wait(demand, urgency):
     """
-    Return the most seconds that a request may wait for a token.
+    Return the maximum seconds that a request may wait for a token.
 
     Args:
       demand: The request's `RequestProfile`.
       urgency: How urgent it is for its service, from 0.0 to 1.0.
     """
-    spare = max(0.0, demand.objective_left - demand.typical_duration)
-    return urgency * min(MAX_WAIT, MAX_WAIT_FRACTION * spare)
+    spare_time = max(0.0, demand.objective_left - demand.typical_duration)
+    return urgency * min(MAX_WAIT, MAX_WAIT_FRACTION * spare_time)
 
 
 def _update_buckets(buckets, shares, now):
-    """Return the buckets of new shares; those that go on keep their tokens."""
-    poured = {}
-    for life, rate in shares.items():
+    """Return the buckets for new shares; existing ones keep their tokens."""
+    updated = {}
+    for incarnation, rate in shares.items():
         capacity = max(MIN_CAPACITY, CAPACITY_SECONDS * rate)
-        bucket = buckets.get(life)
+        bucket = buckets.get(incarnation)
         if bucket is None:
             bucket = TokenBucket(rate, capacity, now)
         else:
             bucket.set_rate(rate, capacity, now)
-        poured[life] = bucket
-    return poured
+        updated[incarnation] = bucket
+    return updated
