--- a/packages/plumsaddle-core/plumsaddle_core/ops/orders.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/orders.py
@@ -1,16 +1,16 @@
 """
-What became of each order key: a plain fold over the records of a log stream.
-
-A key is free, or held by one claim. The first claim of a free key holds it; a claim
-that comes while another one holds the key is dead for good, also when the key is
-free again later, because its host has long told its caller so. A claim has no lease
-and does not expire: nobody can be unaware of losing it. It ends by its own host's
-words (done, released) or by an operator's (settled).
-
-The state of a claim only moves forward, so doubled and late records change nothing.
-Keys carry their time (UUIDv7). The horizon, also a record, says up to which time
-keys are forgotten; a claim with an older key is dead at once. A wrong clock may
-move the horizon too early and so cause refusals, but never a second run.
+The state of each order key, folded from the records of a log stream.
+
+A key is free, or held by one claim. The first claim of a free key holds it. A claim
+appended while another one holds the key is void for good, even once the key is free
+again, because its host has already told the caller so. Claims have no lease and do not
+expire, so a host always knows of losing one: a claim ends only by an event of its own
+host (done, released) or of an operator (settled).
+
+The state of a claim only moves forward, so duplicate and late records change nothing.
+Keys contain their creation time (UUIDv7). Keys up to the horizon, which is set by a
+record, are forgotten, and a claim with such a key is void. A wrong clock may move the
+horizon too far and cause refusals, but never a second execution.
 """
 
 import enum
@@ -21,7 +21,7 @@
 
 
 class ClaimState(enum.Enum):
-    """How far the claim that holds a key has come."""
+    """The state of the claim that holds a key."""
 
     CLAIMED = "claimed"
     UNKNOWN = "unknown"
@@ -30,7 +30,7 @@
 
 
 class Claim(NamedTuple):
-    """A host's wish to run an order. `key_time` is in milliseconds since 1970."""
+    """A host's request to run an order; `key_time` is in Unix milliseconds."""
 
     key: OrderKey
     key_time: int
@@ -41,7 +41,7 @@
 
 
 class Done(NamedTuple):
-    """The target's answer to an order; the body only if it is kept."""
+    """The target's answer to an order, without its body if that is not stored."""
 
     key: OrderKey
     claim: ClaimId
@@ -51,7 +51,7 @@
 
 
 class Unknown(NamedTuple):
-    """The claimant's word that it cannot learn whether the order ran."""
+    """The claiming host cannot determine whether the order was run."""
 
     key: OrderKey
     claim: ClaimId
@@ -59,7 +59,7 @@
 
 
 class Released(NamedTuple):
-    """The claimant's promise that it has not sent the order and never will."""
+    """The claiming host has not sent the order and never will."""
 
     key: OrderKey
     key_time: int
@@ -67,7 +67,7 @@
 
 
 class Settled(NamedTuple):
-    """An operator's word on a claim without an outcome."""
+    """An operator's decision on a claim without an outcome."""
 
     key: OrderKey
     claim: ClaimId
@@ -76,20 +76,20 @@
 
 
 class Horizon(NamedTuple):
-    """Keys up to this time, in milliseconds since 1970, are forgotten."""
+    """Keys up to this time, in Unix milliseconds, are forgotten."""
 
     key_time: int
 
 
 class Ping(NamedTuple):
-    """A host's mark on a batch that it tries again; the fold passes it over."""
+    """Marks a batch that a host retries, so that it finds the batch in the log."""
 
     host: Incarnation
     number: int
 
 
 class Entry(NamedTuple):
-    """A key, the claim that holds it or held it last, and the dead claims."""
+    """A key, the claim that holds it or held it last, and the void claims."""
 
     key: OrderKey
     key_time: int
@@ -102,11 +102,11 @@
     content_type: str = ""
     body: bytes | None = None
     detail: str = ""
-    dead: tuple[ClaimId, ...] = ()
+    void_claims: tuple[ClaimId, ...] = ()
 
 
 class Orders:
-    """All remembered keys, and the time up to which keys are forgotten."""
+    """The entries by key, and the time up to which keys are forgotten."""
 
     def __init__(self):
         self.entries = {}
@@ -118,14 +118,14 @@
 
 def apply_event(orders, event, offset):
     """
-    Fold one event into the orders.
+    Apply an event to the orders.
 
     Args:
-      orders: The `Orders`; it is changed.
-      event: One of the events above; other kinds are passed over.
-      offset: The event's place in the log.
+      orders: The `Orders`, changed in place.
+      event: An event; kinds without a handler are ignored.
+      offset: The offset of the event's record, which is not used.
     """
-    del offset  # The order of the calls says it already.
+    del offset  # The calls are in log order already.
     handler = HANDLERS.get(type(event))
     if handler:
         handler(orders, event)
@@ -136,18 +136,20 @@
         return
     entry = orders.entries.get(event.key)
     if entry is None:
-        orders.entries[event.key] = _held_by(event, ())
-    elif event.claim == entry.claim or event.claim in entry.dead:
+        orders.entries[event.key] = _claimed_entry(event, ())
+    elif event.claim == entry.claim or event.claim in entry.void_claims:
         return
     elif entry.state is ClaimState.FREE:
-        orders.entries[event.key] = _held_by(event, entry.dead)
+        orders.entries[event.key] = _claimed_entry(event, entry.void_claims)
     else:
-        orders.entries[event.key] = entry._replace(dead=entry.dead + (event.claim,))
+        orders.entries[event.key] = entry._replace(
+            void_claims=entry.void_claims + (event.claim,)
+        )
 
 
-def _held_by(event, dead):
-    """Return the entry of a key that this claim holds from now on."""
-    return Entry(*event, state=ClaimState.CLAIMED, dead=dead)
+def _claimed_entry(event, void_claims):
+    """Return the entry of a key that this claim has just taken."""
+    return Entry(*event, state=ClaimState.CLAIMED, void_claims=void_claims)
 
 
 def _apply_done(orders, event):
@@ -171,10 +173,10 @@
 
 def _apply_released(orders, event):
     """
-    Free the key, or bar a claim that has not come yet.
+    Free the key, or void a claim that is not in the log yet.
 
-    An append may take effect long after its answer was given up on. The release can
-    then stand in the log before its claim, which must stay dead when it surfaces.
+    An append may take effect long after it timed out. The release may then precede its
+    claim in the log.
     """
     entry = orders.entries.get(event.key)
     if entry is None:
@@ -187,16 +189,18 @@
                 host=Incarnation(""),
                 label="",
                 state=ClaimState.FREE,
-                dead=(event.claim,),
+                void_claims=(event.claim,),
             )
         return
-    if event.claim in entry.dead:
+    if event.claim in entry.void_claims:
         return
-    dead = entry.dead + (event.claim,)
+    void_claims = entry.void_claims + (event.claim,)
     if entry.claim != event.claim:
-        orders.entries[event.key] = entry._replace(dead=dead)
+        orders.entries[event.key] = entry._replace(void_claims=void_claims)
     elif entry.state is ClaimState.CLAIMED:
-        orders.entries[event.key] = entry._replace(state=ClaimState.FREE, dead=dead)
+        orders.entries[event.key] = entry._replace(
+            state=ClaimState.FREE, void_claims=void_claims
+        )
 
 
 def _apply_settled(orders, event):
@@ -207,8 +211,10 @@
     if event.has_run:
         entry = entry._replace(state=ClaimState.DONE, status=0, detail=detail)
     else:
-        dead = entry.dead + (event.claim,)
-        entry = entry._replace(state=ClaimState.FREE, detail=detail, dead=dead)
+        void_claims = entry.void_claims + (event.claim,)
+        entry = entry._replace(
+            state=ClaimState.FREE, detail=detail, void_claims=void_claims
+        )
     orders.entries[event.key] = entry
 
 
@@ -235,10 +241,10 @@
 
 def restore_orders(items):
     """
-    Return the orders that a checkpoint holds.
+    Return the orders restored from a checkpoint's items.
 
     Args:
-      items: The horizon, then one list of fields for each entry.
+      items: The horizon, followed by a list of fields for each entry.
     Returns:
       An `Orders`.
     """
@@ -246,13 +252,15 @@
     orders.horizon = items[0]
     for fields in items[1:]:
         entry = Entry(*fields)
-        entry = entry._replace(state=ClaimState(entry.state), dead=tuple(entry.dead))
+        entry = entry._replace(
+            state=ClaimState(entry.state), void_claims=tuple(entry.void_claims)
+        )
         orders.entries[entry.key] = entry
     return orders
 
 
 def dump_orders(orders):
-    """Return the items of a checkpoint that holds the orders."""
+    """Return the orders as items of a checkpoint."""
     entries = (
         [*entry[:6], entry.state.value, *entry[7:]] for entry in orders.entries.values()
     )
@@ -260,5 +268,5 @@
 
 
 def new_order_fold():
-    """Return the fold of one of the orders' streams."""
+    """Return the fold of a stream of orders."""
     return Fold(Orders, apply_event, restore_orders)
