--- a/packages/plumsaddle-core/plumsaddle_core/ops/claims.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/claims.py
@@ -1,11 +1,11 @@
 """
-One host's part in running orders: when it may send, and what it must say.
+The claims of one host on a stream of orders: which orders the host may send.
 
-`Claims` stands between the fold of an orders' stream and the host's sockets. A
-request begins with `begin`, which answers at once or gives a claim to append. Each
-record that is read goes through `feed`, which tells which claims were decided. Only
-a claim that was won here and not given up may be sent, and `start_sending` is the
-one place that says so. The host does the waiting; nothing in here knows the time.
+`Claims` connects the fold of the stream with the host's I/O. `answer_from_log` answers
+a request whose key is known already. Otherwise the host registers a claim and appends
+it to the log. Each record read from the log goes through `feed`, which returns the
+claims that it decides. Only a claim that was won and not given up may be sent, which
+`start_sending` decides. Waiting and timeouts are the host's task.
 """
 
 import enum
@@ -21,7 +21,7 @@
 
 
 class Replay(NamedTuple):
-    """The recorded answer of an order that has run."""
+    """The recorded answer to an order that was run."""
 
     status: int
     content_type: str
@@ -29,14 +29,14 @@
 
 
 class Decision(NamedTuple):
-    """What the log says about a claim that was waited for."""
+    """Whether a claim that the host waited for has won its key."""
 
     claim: ClaimId
     is_won: bool
 
 
 class LocalState(enum.Enum):
-    """How far a claim of this host's has come, as the host itself knows."""
+    """The state of one of this host's claims at the host itself."""
 
     WAITING = "waiting"
     WON = "won"
@@ -49,26 +49,27 @@
     The claims of one incarnation of a host on one stream.
 
     Args:
-      fold: The fold of the stream.
+      fold: The `Fold` of the stream.
       host: The host's incarnation; a restarted host has another one.
-      is_gone: A function that tells whether another incarnation is known to be
-        gone. It only chooses between two true answers: still running, or unknown.
+      is_gone: A function that returns whether another incarnation is known to have
+        stopped. It affects only whether its orders are reported as running or unknown,
+        which are both correct.
     """
 
     def __init__(self, fold, host, is_gone):
         self.fold = fold
         self.host = Incarnation(host)
         self.is_gone = is_gone
-        self._local = {}
-        self._owned = {}
+        self._states = {}
+        self._claims = {}
 
     def answer_from_log(self, key, key_time, fingerprint):
         """
-        Answer from what the log has already said of a key.
+        Answer a request from what the log has recorded of its key.
 
         Args:
-          key: The hashed key, with its service and caller in it.
-          key_time: The key's own time in milliseconds since 1970.
+          key: The hash of the key, the service and the caller.
+          key_time: The key's creation time, in Unix milliseconds.
           fingerprint: The hash of the request.
         Returns:
           A `Replay`, a `Refusal`, or None if the key is free to be claimed.
@@ -93,29 +94,29 @@
         return refuse(Reason.ORDER_RUNNING, outcome=Outcome.UNKNOWN)
 
     def _is_orphan(self, entry):
-        """Return whether nobody will record an outcome for this claim any more."""
+        """Return whether no host will record an outcome for this claim any more."""
         if entry.host == self.host:
-            return entry.claim not in self._local
+            return entry.claim not in self._states
         return self.is_gone(entry.host)
 
     def register(self, claim):
         """
-        Take up a claim that is about to be appended.
+        Register a claim that is about to be appended.
 
         Args:
           claim: A `Claim` with a fresh id.
         """
-        assert claim.claim not in self._local, "a claim id was used twice"
-        self._local[claim.claim] = LocalState.WAITING
-        self._owned[claim.claim] = claim
+        assert claim.claim not in self._states, "a claim id was registered twice"
+        self._states[claim.claim] = LocalState.WAITING
+        self._claims[claim.claim] = claim
 
     def feed(self, record):
         """
-        Fold a record and tell what it decides for this host.
+        Fold a record and return what it decides for this host.
 
-        A claim of this host's that comes to hold its key while nobody waits for it
-        any more was appended although its answer was lost. Its caller has been told
-        that it was not run, so it is released.
+        A claim of this host that wins its key after the host gave it up was appended
+        although the append seemed to fail. Its caller has been told that the order was
+        not run, so the claim is released.
 
         Args:
           record: The next `Record` of the stream.
@@ -136,26 +137,25 @@
 
     def _forget_finished(self, claim):
         """
-        Drop a claim of this host's whose outcome stands in the log.
+        Drop a claim of this host once its outcome is in the log.
 
-        Until then a repeated key must hear that its order is running: an outcome
-        on its way to the log is not an outcome that nobody knows.
+        Until then a repeated key must be answered with "running" and not "unknown".
         """
-        if self._local.get(claim) is LocalState.FINISHED:
+        if self._states.get(claim) is LocalState.FINISHED:
             self._forget(claim)
 
     def _decide(self, event, decisions, releases):
-        """Compare one claim of this host's with the state of its key."""
+        """Decide a claim of this host by the state of its key."""
         entry = self.fold.state.entries.get(event.key)
         is_holder = (
             entry is not None
             and entry.claim == event.claim
             and entry.state is ClaimState.CLAIMED
         )
-        state = self._local.get(event.claim)
+        state = self._states.get(event.claim)
         if state is LocalState.WAITING:
             if is_holder:
-                self._local[event.claim] = LocalState.WON
+                self._states[event.claim] = LocalState.WON
             else:
                 self._forget(event.claim)
             decisions.append(Decision(event.claim, is_holder))
@@ -164,20 +164,19 @@
 
     def start_sending(self, claim):
         """
-        Say whether a claim may be sent now; once it may, it can't be given up.
+        Return whether a claim may be sent; if so, it can no longer be given up.
 
-        A host may be frozen between winning and sending, and be given up on by
-        its own timers when it thaws. Whoever comes first here, the sender or the
-        one who gives up, shuts the other out.
+        A host may freeze between winning a claim and sending the order, and then give
+        the claim up by a timer. Whichever of the two comes first excludes the other.
 
         Args:
           claim: A claim's id.
         Returns:
           Whether the order may be sent.
         """
-        if self._local.get(claim) is not LocalState.WON:
+        if self._states.get(claim) is not LocalState.WON:
             return False
-        self._local[claim] = LocalState.SENDING
+        self._states[claim] = LocalState.SENDING
         return True
 
     def give_up(self, claim):
@@ -187,48 +186,50 @@
         Args:
           claim: A claim's id.
         Returns:
-          The events to append: a release if the log has the claim already. If it
-          surfaces later, `feed` releases it.
+          The events to append: a release if the claim is in the log already. If it
+          appears there later, `feed` releases it.
         """
-        state = self._local.get(claim)
-        assert state is not LocalState.SENDING, "an order under way was given up"
-        owned = self._forget(claim)
+        state = self._states.get(claim)
+        assert state is not LocalState.SENDING, (
+            "a claim was given up after its order was sent"
+        )
+        claimed = self._forget(claim)
         if state is LocalState.WON:
-            return [Released(owned.key, owned.key_time, owned.claim)]
+            return [Released(claimed.key, claimed.key_time, claimed.claim)]
         return []
 
     def finish(self, claim, status, content_type, body):
-        """Return the events for an answer of the target's."""
-        owned = self._finish(claim)
-        return [Done(owned.key, claim, status, content_type, body)]
+        """Return the events to append for an answer of the target."""
+        claimed = self._finish(claim)
+        return [Done(claimed.key, claim, status, content_type, body)]
 
     def finish_unsent(self, claim):
-        """Return the events for an order of which no byte reached a target."""
-        owned = self._finish(claim)
-        return [Released(owned.key, owned.key_time, claim)]
+        """Return the events to append for an order of which no byte was sent."""
+        claimed = self._finish(claim)
+        return [Released(claimed.key, claimed.key_time, claim)]
 
     def finish_unknown(self, claim, detail):
-        """Return the events for an order whose answer was lost."""
-        owned = self._finish(claim)
-        return [Unknown(owned.key, claim, detail)]
+        """Return the events to append for an order whose answer was lost."""
+        claimed = self._finish(claim)
+        return [Unknown(claimed.key, claim, detail)]
 
     def _finish(self, claim):
-        self._local[claim] = LocalState.FINISHED
-        return self._owned[claim]
+        self._states[claim] = LocalState.FINISHED
+        return self._claims[claim]
 
     def _forget(self, claim):
-        self._local.pop(claim, None)
-        return self._owned.pop(claim, None)
+        self._states.pop(claim, None)
+        return self._claims.pop(claim, None)
 
     def open_claims(self):
-        """Return the claims of this host's whose outcome is still open."""
+        """Return the ids of this host's claims without an outcome."""
         return [
             claim
-            for claim, state in self._local.items()
+            for claim, state in self._states.items()
             if state is not LocalState.FINISHED
         ]
 
 
 def make_record(offset, events):
-    """Return a `Record` of events at an offset."""
+    """Return the `Record` of some events at an offset."""
     return Record(offset, tuple(events))
