--- a/packages/plumsaddle-core/plumsaddle_core/core/__init__.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/__init__.py
@@ -1,1 +1,1 @@
-"""The data that every other part shares."""
+"""Data types shared by the other packages."""
