--- a/packages/plumsaddle-core/plumsaddle_core/core/ids.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/ids.py
@@ -1,5 +1,5 @@
 """
-The kinds of names and numbers that identify things, each a type of its own.
+Distinct types for identifiers.
 """
 
 from typing import NewType
