--- a/packages/plumsaddle-core/plumsaddle_core/core/data.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/data.py
@@ -1,10 +1,9 @@
 """
-The data that every other module shares.
+Data types shared by the other modules.
 
-Texts become `Configuration` in the parser; requests, answers and log records
-become the small tuples below; the operations take them and return new ones. A
-tuple never changes, so a request in flight keeps the configuration it began with
-while a newer one is already in force for the next request.
+The parser turns text into `Configuration` and `Settings`. All types are immutable, so
+a request in flight keeps the configuration that it started with when a newer version
+is applied.
 """
 
 import enum
@@ -24,7 +23,7 @@
 
 
 class RequestKind(enum.Enum):
-    """What may be done with a request that failed half way."""
+    """How a request may be retried after it was partly processed."""
 
     IDEMPOTENT = "idempotent"
     ORDER = "order"
@@ -32,14 +31,14 @@
 
 
 class DetectionTradeoff(enum.Enum):
-    """Which of the two measured errors a deployment would rather make."""
+    """What ejection favours: few false ejections or a short detection time."""
 
     FALSE_EJECTIONS = "false-ejections"
     DETECTION_TIME = "detection-time"
 
 
 class HealthState(enum.Enum):
-    """What a host lets a target do."""
+    """The state of a target in a host's pool, which decides what it is sent."""
 
     HEALTHY = "good"
     EJECTED = "ejected"
@@ -49,7 +48,7 @@
 
 
 class Outcome(enum.Enum):
-    """What is known of a request's effect when its caller is answered."""
+    """Whether a request was executed, as far as known when its caller is answered."""
 
     RUN = "run"
     NOT_RUN = "not-run"
@@ -57,7 +56,7 @@
 
 
 class HealthSignal(enum.Enum):
-    """What one finished or overdue try says about its target."""
+    """What one finished or overdue attempt indicates about its target."""
 
     GOOD = "good"
     SLOW = "slow"
@@ -65,7 +64,7 @@
 
 
 class FailureKind(enum.Enum):
-    """How a try at a target went wrong."""
+    """Why an attempt at a target failed."""
 
     CONNECT = "connect"
     BROKEN = "broken"
@@ -78,8 +77,8 @@
     CALLER = "caller"
 
 
-class Error(NamedTuple):
-    """A mistake in a text: where it stands, what is wrong, and in which entry."""
+class ParseError(NamedTuple):
+    """An error in a configuration or settings file, with its location and entry."""
 
     source: str
     line: int
@@ -91,7 +90,7 @@
 
 
 class Target(NamedTuple):
-    """One worker of a service, as the configuration names it."""
+    """One worker of a service, as listed in the configuration."""
 
     id: Name
     address: AddressText
@@ -101,22 +100,22 @@
     @property
     def key(self):
         """
-        The target's identity for evidence: its id and its address together.
+        The target's identity in health evidence: its id and address.
 
-        A reused address with another id, or an id that moved, is another target,
-        and nothing that was seen of the former one counts against it.
+        If either changes, it is a new target, and evidence about the old one does not
+        apply to it.
         """
         return TargetKey(f"{self.id}@{self.address}")
 
 
 class Service(NamedTuple):
     """
-    A service, what it depends on, and the limits on its targets.
+    A service, its dependencies, and the limits on its targets.
 
-    `slots` and `connections` are what one target takes at a time. `floor` is the
-    number of targets that ejection must leave in. Times are in seconds, the buffer
-    bound in bytes. `shed_status` are the statuses by which a target says that it
-    has not run the request.
+    `slots` and `connections` are the maximum concurrent requests and connections per
+    target. `floor` is the number of targets that ejection must leave in use. Times are
+    in seconds, and `buffer_bytes` is in bytes. `shed_status` are the status codes with
+    which a target reports that it did not execute the request.
     """
 
     name: Name
@@ -138,7 +137,7 @@
 
 
 class Route(NamedTuple):
-    """Which requests go to which service, as what kind, and for how long."""
+    """Maps requests to a service and sets their kind and deadline."""
 
     prefix: PathPrefix
     service: Name
@@ -148,7 +147,7 @@
 
 
 class Configuration(NamedTuple):
-    """The whole text that operators publish, checked."""
+    """A validated version of the configuration that operators publish."""
 
     deployment: Name
     service: Annotated[tuple[Service, ...], Field(min_length=1)]
@@ -158,7 +157,7 @@
 
 
 class Listeners(NamedTuple):
-    """The addresses on which a host listens, one for each kind of visitor."""
+    """The addresses on which a host listens, one for each kind of client."""
 
     callers: AddressText
     operators: AddressText
@@ -166,7 +165,7 @@
 
 
 class Platform(NamedTuple):
-    """How a host reaches the platform. Times are in seconds."""
+    """Access to the platform. Times are in seconds."""
 
     url: Annotated[str, Field(pattern=r"^https?://[^/]+(/[^ ]*)?$")]
     append_timeout: Seconds = 2.0
@@ -176,7 +175,7 @@
 
 
 class Peers(NamedTuple):
-    """How hosts find and trust each other. Times are in seconds."""
+    """Discovery and authentication among hosts. Times are in seconds."""
 
     secret: Annotated[str, Field(min_length=16)]
     seeds: tuple[AddressText, ...] = ()
@@ -185,14 +184,14 @@
 
 
 class Logs(NamedTuple):
-    """How a host writes its log."""
+    """Logging settings of a host."""
 
     level: Annotated[str, Field(pattern="^(debug|info|warning|error)$")] = "info"
     json: bool = False
 
 
 class Settings(NamedTuple):
-    """Everything a host learns from its settings file."""
+    """The content of a host's settings file."""
 
     id: Name
     data_centre: Name
@@ -204,7 +203,7 @@
 
 
 class Refusal(NamedTuple):
-    """An answer that plumsaddle gives by itself instead of a target's."""
+    """An error response from plumsaddle itself instead of from a target."""
 
     reason: enum.Enum
     outcome: Outcome
--- a/packages/plumsaddle-core/plumsaddle_core/parser/text.py
+++ b/packages/plumsaddle-core/plumsaddle_core/parser/text.py
@@ -11,7 +11,7 @@
 from pydantic import TypeAdapter, ValidationError
 from returns.result import Failure, Success
 
-from ..core.data import Error
+from ..core.data import ParseError
 from .places import find_line, index_lines
 
 
@@ -31,7 +31,7 @@
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as exc:
-        return Failure([Error(source, _line_of(exc), str(exc), "text")])
+        return Failure([ParseError(source, _line_of(exc), str(exc), "text")])
     lines = index_lines(text)
     try:
         value = TypeAdapter(shape).validate_python(raw)
@@ -81,7 +81,7 @@
 def _as_errors(found, source, lines):
     """Return pairs of path and message as errors, in the order of their lines."""
     errors = [
-        Error(source, find_line(lines, path), message, ".".join(map(str, path)))
+        ParseError(source, find_line(lines, path), message, ".".join(map(str, path)))
         for path, message in found
     ]
     return sorted(errors, key=lambda error: (error.line, error.entry))
