--- a/packages/plumsaddle-core/plumsaddle_core/core/reasons.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/reasons.py
@@ -1,9 +1,8 @@
 """
-The reasons for which plumsaddle answers by itself, and for which it tries again.
+Reasons for refusing a request and for retrying one.
 
-Each reason has one status and at most one pause after which coming back makes
-sense. The reason's value is the last part of the problem's type, the label of its
-counter and the word in the logs, so that one search finds all three.
+Each refusal reason has one status code and an optional Retry-After. The same value is
+used in the problem type's URI, as the metric's label and in the logs.
 """
 
 import enum
@@ -13,7 +12,7 @@
 
 
 class Reason(enum.Enum):
-    """Why a request was answered by plumsaddle itself."""
+    """Why plumsaddle refused a request."""
 
     NO_CONFIGURATION = "no-configuration"
     BAD_PATH = "bad-path"
@@ -42,7 +41,7 @@
 
 
 class RetryReason(enum.Enum):
-    """Why a request was sent to another target."""
+    """Why a request was retried on another target."""
 
     CONNECT = "connect"
     SHED = "shed"
@@ -51,7 +50,7 @@
 
 
 class Problem(NamedTuple):
-    """The status of a reason and the usual pause in seconds, if any."""
+    """The status code, default Retry-After in seconds and title of a refusal."""
 
     status: int
     retry_after: int | None
@@ -90,13 +89,13 @@
 
 def refuse(reason, detail="", outcome=Outcome.NOT_RUN):
     """
-    Return the refusal for a reason.
+    Return a refusal for a reason.
 
     Args:
-      reason: The reason, a member of `Reason`.
-      detail: What was seen in this very case, for the caller's log.
-      outcome: What is known of the request's effect.
+      reason: The `Reason`.
+      detail: Details of this case, for the caller's log.
+      outcome: The `Outcome`: whether the request was executed.
     Returns:
-      A `Refusal` with the reason's usual pause.
+      A `Refusal` with the reason's default Retry-After.
     """
     return Refusal(reason, outcome, detail, PROBLEMS[reason].retry_after)
