--- a/packages/plumsaddle-core/plumsaddle_core/utils/__init__.py
+++ b/packages/plumsaddle-core/plumsaddle_core/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers without a decision in them."""
+"""Utilities: event codec, idempotency keys and timers."""
--- a/packages/plumsaddle-core/plumsaddle_core/utils/codec.py
+++ b/packages/plumsaddle-core/plumsaddle_core/utils/codec.py
@@ -1,10 +1,9 @@
 """
-Events as bytes, by msgpack.
+Serialisation of events with msgpack.
 
-A record of the log is a list of events, and each event is its tag followed by its
-fields. Tags are part of the stored format and never change their meaning; a record
-with an unknown tag was written by a newer release and its event is passed over by
-the folds, which look at the types that they know.
+A log record is a list of events, each a list of its tag and its fields. Tags are part
+of the stored format and never change their meaning. An unknown tag was written by a
+newer release; its event is ignored by whatever folds the log.
 """
 
 from typing import Any, NamedTuple
@@ -15,7 +14,7 @@
 from ..ops.orders import Claim, Done, Horizon, Ping, Released, Settled, Unknown
 from ..ops.versions import Proposal
 
-TAGS = {
+EVENT_TYPES = {
     "proposal": Proposal,
     "checkpoint": Checkpoint,
     "claim": Claim,
@@ -26,45 +25,47 @@
     "horizon": Horizon,
     "ping": Ping,
 }
-NAMES = {shape: tag for tag, shape in TAGS.items()}
+EVENT_TAGS = {event_type: tag for tag, event_type in EVENT_TYPES.items()}
 
 
-class Unreadable(NamedTuple):
-    """An event that this release cannot read."""
+class UnreadableEvent(NamedTuple):
+    """An event that this release cannot decode."""
 
     tag: str
     fields: Any
 
 
 def encode_events(events):
-    """Return the bytes of a record that holds the events."""
-    return msgspec.msgpack.encode([[NAMES[type(event)], *event] for event in events])
+    """Encode events as the bytes of one record."""
+    return msgspec.msgpack.encode(
+        [[EVENT_TAGS[type(event)], *event] for event in events]
+    )
 
 
 def decode_events(data):
     """
-    Return the events that a record holds.
+    Decode the events of a record.
 
     Args:
       data: The bytes of a record.
     Returns:
-      A tuple of events; whatever cannot be read becomes an `Unreadable`.
+      A tuple of events, with an `UnreadableEvent` for each that cannot be decoded.
     """
     try:
-        rows = msgspec.msgpack.decode(data)
-        return tuple(_decode_row(row) for row in rows)
+        items = msgspec.msgpack.decode(data)
+        return tuple(_decode_event(item) for item in items)
     except (msgspec.DecodeError, TypeError, IndexError):
-        return (Unreadable("record", None),)
+        return (UnreadableEvent("record", None),)
 
 
-def _decode_row(row):
-    tag, *fields = row
-    shape = TAGS.get(tag)
-    if shape is None:
-        return Unreadable(tag, fields)
-    if not shape._field_defaults and len(fields) != len(shape._fields):
-        return Unreadable(tag, fields)
+def _decode_event(item):
+    tag, *fields = item
+    event_type = EVENT_TYPES.get(tag)
+    if event_type is None:
+        return UnreadableEvent(tag, fields)
+    if not event_type._field_defaults and len(fields) != len(event_type._fields):
+        return UnreadableEvent(tag, fields)
     try:
-        return shape(*fields)
+        return event_type(*fields)
     except TypeError:
-        return Unreadable(tag, fields)
+        return UnreadableEvent(tag, fields)
--- a/packages/plumsaddle-core/plumsaddle_core/utils/keys.py
+++ b/packages/plumsaddle-core/plumsaddle_core/utils/keys.py
@@ -1,9 +1,9 @@
 """
-Order keys: their time, their scope and the fingerprint of their request.
+Idempotency keys of orders, and fingerprints of their requests.
 
-A key is a UUIDv7, whose first 48 bits are the milliseconds since 1970 at which the
-caller made it. It is scoped by the service and by the caller's credentials, so that
-one caller's key never meets another's answer.
+A key is a UUIDv7, whose first 48 bits are its creation time in Unix milliseconds. It
+is scoped to the service and the caller's credentials, so a caller cannot retrieve
+another caller's response.
 """
 
 import hashlib
@@ -17,7 +17,7 @@
 
 
 class ParsedKey(NamedTuple):
-    """A key in its scope, and its own time in milliseconds since 1970."""
+    """A scoped key and its creation time in Unix milliseconds."""
 
     key: OrderKey
     key_time: int
@@ -25,12 +25,12 @@
 
 def parse_key(text, service, credentials):
     """
-    Read an Idempotency-Key.
+    Parse an Idempotency-Key header.
 
     Args:
-      text: The header's value, quoted or not, or None.
+      text: The header's value, quoted or not, or None if it is missing.
       service: The service's name.
-      credentials: What the caller authenticates with, or an empty text.
+      credentials: The caller's credentials, or an empty string.
     Returns:
       A `Success` of a `ParsedKey`, or a `Failure` of a `Refusal`.
     """
@@ -47,7 +47,7 @@
 
 
 def fingerprint(method, path, body):
-    """Return the hash by which a repeated request is told from another one."""
+    """Return a hash that detects reuse of a key for a different request."""
     return _digest(b"\n".join([method.encode(), path.encode(), body]))
 
 
@@ -55,7 +55,7 @@
     """
     Return a cryptographic digest.
 
-    With a faster hash that is not one, a caller could make a key whose digest is
-    another caller's and be given that caller's answer.
+    A non-cryptographic hash would let a caller forge a collision with another caller's
+    key and receive that caller's response.
     """
     return hashlib.blake2b(data, digest_size=16).hexdigest()
--- a/packages/plumsaddle-core/plumsaddle_core/utils/timers.py
+++ b/packages/plumsaddle-core/plumsaddle_core/utils/timers.py
@@ -1,8 +1,8 @@
 """
-A timer service that parts subscribe to.
+A scheduler of periodic callbacks.
 
-Parts give it a function and a period and never sleep themselves. The daemon drives
-it from its event loop, tests and measurements from a virtual clock.
+The daemon drives it from its event loop; tests and simulations drive it from a virtual
+clock.
 """
 
 import heapq
@@ -10,24 +10,23 @@
 from typing import NamedTuple
 
 
-class Due(NamedTuple):
-    """When a subscription is due next; the count keeps the order of equals."""
+class Subscription(NamedTuple):
+    """A scheduled callback; `sequence` breaks ties between equal due times."""
 
-    at: float
-    count: int
+    due_at: float
+    sequence: int
     period: float
-    run: object
+    callback: object
 
 
 class Timers:
     """
-    All periodic work of one process.
+    Schedules all periodic callbacks of a process.
 
     Args:
-      now: A function that returns the present in seconds, from a clock that never
-        goes back.
-      rng: A `random.Random`; periods vary a little, so that hosts started together
-        do not work in step.
+      now: A function that returns the current time in seconds of a monotonic clock.
+      rng: A `random.Random`, for jitter that keeps hosts started together from running
+        their callbacks at the same time.
     """
 
     JITTER = 0.1
@@ -35,33 +34,35 @@
     def __init__(self, now, rng):
         self.now = now
         self._rng = rng
-        self._count = itertools.count()
-        self._due = []
+        self._sequence = itertools.count()
+        self._queue = []
 
-    def subscribe(self, period, run):
+    def subscribe(self, period, callback):
         """
-        Run a function again and again.
+        Call a function periodically.
 
         Args:
-          period: The seconds from one run to the next.
-          run: A function that takes the present in seconds.
+          period: The seconds between calls.
+          callback: A function that takes the current time in seconds.
         """
-        self._push(self.now() + self._rng.uniform(0, period), period, run)
+        self._push(self.now() + self._rng.uniform(0, period), period, callback)
 
-    def _push(self, at, period, run):
-        heapq.heappush(self._due, Due(at, next(self._count), period, run))
+    def _push(self, due_at, period, callback):
+        heapq.heappush(
+            self._queue, Subscription(due_at, next(self._sequence), period, callback)
+        )
 
     def run_due(self):
         """
-        Run what is due.
+        Call all callbacks that are due.
 
         Returns:
-          The seconds until the next subscription is due.
+          The seconds until the next one is due.
         """
         now = self.now()
-        while self._due and self._due[0].at <= now:
-            due = heapq.heappop(self._due)
-            spread = self._rng.uniform(1 - self.JITTER, 1 + self.JITTER)
-            self._push(now + due.period * spread, due.period, due.run)
-            due.run(now)
-        return self._due[0].at - now if self._due else 1.0
+        while self._queue and self._queue[0].due_at <= now:
+            due = heapq.heappop(self._queue)
+            jitter = self._rng.uniform(1 - self.JITTER, 1 + self.JITTER)
+            self._push(now + due.period * jitter, due.period, due.callback)
+            due.callback(now)
+        return self._queue[0].due_at - now if self._queue else 1.0
