--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -433,7 +433,7 @@
         return is_near and self.shared.in_flight(target.incarnation) < target.slots
 
     def note_run(self, note):
-        """Take a `RunNote` of this host's own."""
+        """Take a `RunRecord` of this host's own."""
         if self.shared.suspects.add(note, now(), is_own=True):
             self._tell(is_urgent=True)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored.py
@@ -42,7 +42,7 @@
 
     Args:
       store: The `Store`.
-      suspects: The host's `Suspects`.
+      suspects: The host's `SuspectRequests`.
       gate: The `Gate`.
     """
 
