--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
@@ -73,8 +73,8 @@
     A host's work in flight, by tag of target, and its last outcomes.
 
     `address` is the host's own, since a hub passes its message on. `runs` are what
-    became of targets under requests, as `RunRecord`, `quotas` what workspaces asked, and
-    `limits` the rate limits that targets name, as `LimitRow`.
+    became of targets under requests, as `RunRecord`, `quotas` what workspaces asked,
+    and `limits` the rate limits that targets name, as `LimitRow`.
     """
 
     host: str
