--- a/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
@@ -1,14 +1,14 @@
 """
-Which target gets a request.
+Selection of the target for a send.
 
-Every usable target is given the value that a send to it can be expected to have: the
-probability that it answers whole, times what the answer is worth by the time it can
-be there, less the price of leaving the data centre. Work spreads over equal targets by
-a small term for what they have in flight already, which also gives new targets work
-at once and keeps the floor: no target is excluded by evidence, it only ranks lower.
+Every usable target gets a score: the probability of a complete answer, times the value
+of an answer at the time it is expected, less the cost of leaving the data centre. A
+small utilization penalty spreads requests over targets that are otherwise equal and
+gives new targets work at once. Failures only lower a target's score; they never exclude
+it.
 
-A target that fails in a millisecond is never busy, so choosing by load alone sends it
-most of the work. Here its failures count before its idle slots do.
+A target that fails within a millisecond is never busy, so balancing by load alone would
+send it most of the requests. Here failures outweigh free slots.
 """
 
 import enum
@@ -16,39 +16,37 @@
 
 from ..core.traffic import RequestKind, Target
 
-# What filling all slots of a target costs against an empty one, in shares of a
-# request's value. It must outweigh the difference between a target that just proved
-# itself and one that nothing is known of (about 0.08), so that both get work.
-SPREAD = 0.2
-# A failed idempotent request may be sent once more, so a failure costs it a little
-# less. The relief is small, since the second send comes out of a bounded share.
-REPEAT_RELIEF = 0.15
-# Probability of failing from which a target gets one request at a time as a trial.
-TRIAL_FROM = 0.2
-TRIAL_BUSY = 0.25
-# What an open connection is worth, in shares of a request's value. A new one costs its
-# target a millisecond and a slot meanwhile, and a host meets each of many targets less
-# often than connections live. It must stay below the difference between targets that
-# fail and targets that do not.
-LINK_VALUE = 0.03
-# Cold targets take twice the usual time until they are warm.
-COLD_FACTOR = 2.0
-# Values of an answer after the objective and after the time limit.
-LATE_VALUE = 0.5
-# The share of the objective that expected time may use before value falls off; work
-# times vary, so an answer expected just in time is late about half of the time.
-SAFE_SHARE = 0.6
-# Leaving the data centre for a request without a body, in shares of its value, and
-# for each further kilobyte. Bytes between data centres are the dearest thing here: a
-# scan of 60 kB that leaves costs about half of what losing it would cost, so it leaves
-# only when the targets near by probably fail.
-AWAY_COST = 0.03
-AWAY_COST_KB = 0.006
-UNCOUNTED_FULLNESS = 0.5
+# All of these are fractions of the value of a complete answer in time.
+# Score lost by a target with all slots taken. It must outweigh the difference between a
+# target that just succeeded and an unknown one (about 0.08), so that both get requests.
+UTILIZATION_PENALTY = 0.2
+# Part of a failure's cost that an idempotent request is spared since it may be retried.
+# It is small because retries come out of a limited budget.
+RETRY_DISCOUNT = 0.15
+# From this failure probability on, each request in flight at a target costs the given
+# penalty, so that the target gets about one request at a time.
+TRIAL_FAILURE_PROBABILITY = 0.2
+TRIAL_IN_FLIGHT_PENALTY = 0.25
+# Bonus for an open connection, which saves a handshake. It must stay below the score
+# difference between failing and healthy targets.
+OPEN_CONNECTION_BONUS = 0.03
+# How many times longer a cold target takes than a warm one.
+COLD_SLOWDOWN = 2.0
+# Value that an answer loses between the safe share of the objective and the time limit.
+LATE_PENALTY = 0.5
+# The share of the objective within which an answer has its full value. Durations vary:
+# an answer expected exactly at the objective is late about half of the time.
+SAFE_OBJECTIVE_SHARE = 0.6
+# Cost of sending to another data centre: a fixed part and a part for each kilobyte.
+# Large requests leave the data centre only if the local targets probably fail.
+CROSS_CENTRE_COST = 0.03
+CROSS_CENTRE_COST_PER_KB = 0.006
+# Utilization assumed for targets of a data centre whose load is unknown.
+UNKNOWN_LOAD_UTILIZATION = 0.5
 
 
 class ChoiceRule(enum.Enum):
-    """What chose a target."""
+    """Why a target was chosen."""
 
     BEST = "best"
     FLOOR_TRIAL = "floor-trial"
@@ -56,10 +54,11 @@
 
 class Candidate(NamedTuple):
     """
-    A usable target and what is known of it now.
+    A usable target and its current state.
 
-    `is_counted` tells whether `in_flight` holds the work of its own data centre, and
-    `wait` is how long, in seconds, its own rate limit delays a request.
+    `failure_probability` is that of a send to it. `is_load_known` tells whether
+    `in_flight` includes the requests of the target's own data centre. `wait` is the
+    delay in seconds that the target's rate limit imposes on a request.
     """
 
     target: Target
@@ -74,10 +73,11 @@
 
 class RequestProfile(NamedTuple):
     """
-    What a request needs. Times are in seconds from now.
+    The properties of a request that target selection uses, with times in seconds.
 
-    `usual` is the median time of such work on an idle target, `kilobytes` the size of
-    the body and of its usual answer.
+    `typical_duration` is the usual duration of such a request on an idle target,
+    without waiting. `objective_left` and `time_left` are what remains of its objective
+    and of its time limit. `kilobytes` is the size of the body and the usual answer.
     """
 
     kind: RequestKind
@@ -89,10 +89,10 @@
 
 class Choice(NamedTuple):
     """
-    The chosen candidate, its value, and the time it is expected to take.
+    The chosen candidate with its score and expected duration.
 
-    `load` is how many times longer than on an idle, warm target, and `rule` tells what
-    chose it. `expected` is counted from when the request is sent, after any wait.
+    `expected_duration` is counted from the send, after any rate limit delay.
+    `slowdown` is its ratio to the duration on an idle, warm target.
     """
 
     candidate: Candidate
@@ -102,73 +102,72 @@
     rule: ChoiceRule = ChoiceRule.BEST
 
 
-def choose_target(candidates, demand, rng):
+def choose_target(candidates, profile, rng):
     """
     Choose the target for a send.
 
     Args:
       candidates: A list of `Candidate`.
-      demand: The `RequestProfile`.
-      rng: A `random.Random`, which decides between equals.
+      profile: The `RequestProfile`.
+      rng: A `random.Random`, used to break ties.
     Returns:
       A `Choice`, or None without candidates.
     """
     best = None
     best_key = None
     for candidate in candidates:
-        load = load_of(candidate)
-        expected = demand.typical_duration * load
-        value = send_value(candidate, demand, candidate.wait + expected)
-        key = (value, rng.random())
+        slowdown = expected_slowdown(candidate)
+        expected_duration = profile.typical_duration * slowdown
+        score = score_candidate(candidate, profile, candidate.wait + expected_duration)
+        key = (score, rng.random())
         if best is None or key > best_key:
-            best, best_key = Choice(candidate, value, expected, load), key
+            best, best_key = Choice(candidate, score, expected_duration, slowdown), key
     return best
 
 
-def load_of(candidate):
+def expected_slowdown(candidate):
     """
-    Return how many times its work's time a request would spend at a target.
+    Return the factor by which a request takes longer than on an idle, warm target.
 
-    What is in flight beyond the slots waits, and a cold target is slow.
+    Requests beyond the slots queue, and a cold target is slower.
     """
     slots = max(1, candidate.target.slots)
     ahead = max(0, candidate.in_flight + 1 - slots)
-    return (COLD_FACTOR if candidate.is_cold else 1.0) * (1.0 + ahead / slots)
+    return (COLD_SLOWDOWN if candidate.is_cold else 1.0) * (1.0 + ahead / slots)
 
 
-def send_value(candidate, demand, expected):
-    """Return the expected value of a send, 1 being a sure answer in time."""
+def score_candidate(candidate, profile, expected_duration):
+    """Return the score of a send; a certain answer in time is worth 1."""
     fails = candidate.failure_probability
-    cost = fails * (1.0 - REPEAT_RELIEF) if demand.kind.is_idempotent else fails
-    value = (1.0 - cost) * _time_value(expected, demand)
-    value -= SPREAD * _fullness(candidate)
-    if candidate.failure_probability >= TRIAL_FROM:
-        value -= TRIAL_BUSY * candidate.in_flight
+    cost = fails * (1.0 - RETRY_DISCOUNT) if profile.kind.is_idempotent else fails
+    score = (1.0 - cost) * _timeliness(expected_duration, profile)
+    score -= UTILIZATION_PENALTY * _utilization(candidate)
+    if candidate.failure_probability >= TRIAL_FAILURE_PROBABILITY:
+        score -= TRIAL_IN_FLIGHT_PENALTY * candidate.in_flight
     if candidate.has_connection:
-        value += LINK_VALUE
+        score += OPEN_CONNECTION_BONUS
     if not candidate.is_local:
-        value -= AWAY_COST + AWAY_COST_KB * demand.kilobytes
-    return value
+        score -= CROSS_CENTRE_COST + CROSS_CENTRE_COST_PER_KB * profile.kilobytes
+    return score
 
 
-def _fullness(candidate):
+def _utilization(candidate):
     """
-    Return the share of a target's slots that are taken.
+    Return the share of a target's slots that are taken, at most 1.
 
-    Beyond its slots a target's work waits, and the expected time says so. Targets of a
-    data centre that is not heard are taken to be half busy.
+    Requests beyond the slots are accounted for by the expected duration.
     """
     if not candidate.is_load_known:
-        return UNCOUNTED_FULLNESS
+        return UNKNOWN_LOAD_UTILIZATION
     return min(1.0, candidate.in_flight / max(1, candidate.target.slots))
 
 
-def _time_value(expected, demand):
-    """Return what an answer is worth that is expected after some seconds."""
-    if expected >= demand.time_left:
+def _timeliness(expected_duration, profile):
+    """Return the value, from 0 to 1, of an answer expected after some seconds."""
+    if expected_duration >= profile.time_left:
         return 0.0
-    safe = SAFE_SHARE * demand.objective_left
-    if expected <= safe:
+    safe = SAFE_OBJECTIVE_SHARE * profile.objective_left
+    if expected_duration <= safe:
         return 1.0
-    span = max(0.001, demand.time_left - safe)
-    return 1.0 - LATE_VALUE * (expected - safe) / span
+    span = max(0.001, profile.time_left - safe)
+    return 1.0 - LATE_PENALTY * (expected_duration - safe) / span
