--- a/packages/plumsaddle-core/plumsaddle_core/ops/failure_estimator.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/failure_estimator.py
@@ -1,76 +1,75 @@
 """
-How likely it is that a request to a target fails, from the recent work of all hosts.
-
-Targets fail grayly in spells: for some seconds most of their work fails, at once or
-never answered, while their health endpoint reports that all is well. So a target is
-taken for a process with two states, sound and failing, that changes at random times.
-Each outcome moves the probability of the failing state by Bayes' rule, and time moves
-it back toward the share of targets that usually fail. This one filter gives fast
-detection (one failure in a calm fleet raises the probability to about 0.8), patience
-(it falls below a third some three seconds later, so the target is tried again) and a
-cheap way back (one whole answer ends most of the suspicion).
-
-Paths fail too, each by itself: a target that one host cannot reach may serve all
-others. A silence may come from either, and only the host that met it can act on it
-without harm. So each host keeps the same filter for its own path to each target, and
-what it tells the others of a silence says little of the target until others meet it.
+Estimates of the probability that a request to a target fails.
+
+A failing target often fails most of its requests for some seconds while its health
+endpoint still reports success. A target is therefore modelled as a two-state process,
+healthy or failing, that changes state at random times. Each outcome updates the
+probability of the failing state by Bayes' rule, and between outcomes it decays toward
+the prior within seconds, so that a target that has failed is tried again.
+
+Network paths are modelled alike, since a target that one host cannot reach may serve
+all others. Each host keeps an estimate for its own path to each target. A timeout may
+come from the target or from the path, so one that another host reports counts little
+for the target until several hosts have seen it.
 """
 
 import math
 from typing import NamedTuple
 
-# Shares of failed requests in either state; links lose a few of those of sound targets.
-FAILS_SOUND = 0.02
-FAILS_FAILING = 0.7
-# Mean seconds of a sound and of a failing spell.
-SOUND_FOR = 22.0
-FAILING_FOR = 8.0
-USUAL = FAILING_FOR / (SOUND_FOR + FAILING_FOR)
-SETTLE = 1.0 / (1.0 / SOUND_FOR + 1.0 / FAILING_FOR)
-# Share of the sends to a failing target that hang, or that it refuses though it has
-# room; most failing targets answer at once.
-RARE_FAILING = 0.5
-# What one host's silence says of the target to all: a connection that was not opened,
-# or a request that hangs. Dead targets are met by every host that sends to them, and
-# three silences of any hosts weigh as much as a failure that was answered. With more,
-# targets that some of the hosts cannot reach are taken for dead by all.
+# Failure rates of requests in either state. Some requests to healthy targets fail since
+# the network loses packets.
+HEALTHY_FAILURE_RATE = 0.02
+FAILING_FAILURE_RATE = 0.7
+# Mean duration of a healthy and of a failing period.
+MEAN_HEALTHY_SECONDS = 22.0
+MEAN_FAILING_SECONDS = 8.0
+# Stationary probability of the failing state, and the time constant of the decay to it.
+PRIOR_FAILING = MEAN_FAILING_SECONDS / (MEAN_HEALTHY_SECONDS + MEAN_FAILING_SECONDS)
+DECAY_SECONDS = 1.0 / (1.0 / MEAN_HEALTHY_SECONDS + 1.0 / MEAN_FAILING_SECONDS)
+# Share of the sends to a failing target that hang, or that it rejects with slots free.
+RARE_OUTCOME_RATE_FAILING = 0.5
+# Bound on what a timeout at one host, of a connection or a request, counts for the
+# target. A higher bound would let a broken path mark a target as failing for all hosts.
 MAX_SILENCE_LIKELIHOOD_RATIO = 4.0
-# A connection that is not answered, for the path of the host that opened it.
+# For the path of the host whose connection attempt got no answer.
 UNREACHABLE_LIKELIHOOD_RATIO = 100.0
-SUCCESS_LIKELIHOOD_RATIO = (1.0 - FAILS_FAILING) / (1.0 - FAILS_SOUND)
-FAILURE_LIKELIHOOD_RATIO = FAILS_FAILING / FAILS_SOUND
-MOST = 0.995
-# Shares of failed requests over a sound and over a broken path. Packets are lost here
-# and there; a cut path loses all.
-PATH_FAILS_SOUND = 0.005
-PATH_FAILS_BROKEN = 0.9
-PATH_SUCCESS_LIKELIHOOD_RATIO = (1.0 - PATH_FAILS_BROKEN) / (1.0 - PATH_FAILS_SOUND)
-# Cuts last as long as spells of targets and meet one path in thirty.
-PATH_BROKEN_FOR = 8.0
-PATH_USUAL = 0.03
-
-
-class Spells(NamedTuple):
+SUCCESS_LIKELIHOOD_RATIO = (1.0 - FAILING_FAILURE_RATE) / (1.0 - HEALTHY_FAILURE_RATE)
+FAILURE_LIKELIHOOD_RATIO = FAILING_FAILURE_RATE / HEALTHY_FAILURE_RATE
+MAX_FAILING_PROBABILITY = 0.995
+# Failure rates of requests over a healthy and over a broken path.
+PATH_HEALTHY_FAILURE_RATE = 0.005
+PATH_BROKEN_FAILURE_RATE = 0.9
+PATH_SUCCESS_LIKELIHOOD_RATIO = (1.0 - PATH_BROKEN_FAILURE_RATE) / (
+    1.0 - PATH_HEALTHY_FAILURE_RATE
+)
+# Mean duration of a broken path, and the share of paths that are broken.
+PATH_MEAN_BROKEN_SECONDS = 8.0
+PATH_PRIOR_BROKEN = 0.03
+
+
+class FailureModel(NamedTuple):
     """
-    What is known beforehand of a process that fails in spells.
+    Parameters of a two-state failure process.
 
-    `usual` is the share of time in the failing state, `settle` the seconds in which
-    what was learnt loses most of its worth, and the other two are the shares of
-    requests that fail in either state.
+    `prior` is the stationary probability of the failing state, `decay_seconds` the time
+    constant with which the estimate returns to it. The rates are the shares of requests
+    that fail in either state.
     """
 
-    usual: float
-    settle: float
-    fails_sound: float
-    fails_failing: float
+    prior: float
+    decay_seconds: float
+    healthy_failure_rate: float
+    failing_failure_rate: float
 
 
-TARGET_SPELLS = Spells(USUAL, SETTLE, FAILS_SOUND, FAILS_FAILING)
-PATH_MODEL = Spells(
-    PATH_USUAL,
-    PATH_BROKEN_FOR * (1.0 - PATH_USUAL),
-    PATH_FAILS_SOUND,
-    PATH_FAILS_BROKEN,
+TARGET_MODEL = FailureModel(
+    PRIOR_FAILING, DECAY_SECONDS, HEALTHY_FAILURE_RATE, FAILING_FAILURE_RATE
+)
+PATH_MODEL = FailureModel(
+    PATH_PRIOR_BROKEN,
+    PATH_MEAN_BROKEN_SECONDS * (1.0 - PATH_PRIOR_BROKEN),
+    PATH_HEALTHY_FAILURE_RATE,
+    PATH_BROKEN_FAILURE_RATE,
 )
 
 
@@ -79,52 +78,53 @@
     The probability that a target, or the path to it, is in its failing state.
 
     Args:
-      spells: The `Spells` of such a process.
+      model: The `FailureModel` to use.
     """
 
-    def __init__(self, spells=TARGET_SPELLS):
-        self._spells = spells
-        self._failing = spells.usual
-        self._at = -math.inf
+    def __init__(self, model=TARGET_MODEL):
+        self._model = model
+        self._probability = model.prior
+        self._updated_at = -math.inf
 
     def failing_probability(self, now):
-        """Return the probability of the failing state by now."""
-        usual = self._spells.usual
-        if self._at == -math.inf:
-            return usual
-        kept = math.exp(-max(0.0, now - self._at) / self._spells.settle)
-        return usual + (self._failing - usual) * kept
+        """Return the probability of the failing state."""
+        prior = self._model.prior
+        if self._updated_at == -math.inf:
+            return prior
+        kept = math.exp(-max(0.0, now - self._updated_at) / self._model.decay_seconds)
+        return prior + (self._probability - prior) * kept
 
     def failure_probability(self, now):
         """Return the probability that a request sent now fails."""
         failing = self.failing_probability(now)
-        spells = self._spells
-        return failing * spells.fails_failing + (1.0 - failing) * spells.fails_sound
+        model = self._model
+        return (
+            failing * model.failing_failure_rate
+            + (1.0 - failing) * model.healthy_failure_rate
+        )
 
-    def update(self, ratio, now):
+    def update(self, likelihood_ratio, now):
         """
-        Apply Bayes' rule.
+        Apply Bayes' rule to an observation.
 
         Args:
-          ratio: How much likelier what was seen is of a failing target than of a sound
-            one.
-          now: The present, in seconds.
+          likelihood_ratio: The probability of the observation in the failing state,
+            divided by that in the healthy state.
+          now: The current time in seconds.
         """
         failing = self.failing_probability(now)
-        odds = failing / (1.0 - failing) * ratio
-        self._failing = min(MOST, odds / (1.0 + odds))
-        self._at = now
+        odds = failing / (1.0 - failing) * likelihood_ratio
+        self._probability = min(MAX_FAILING_PROBABILITY, odds / (1.0 + odds))
+        self._updated_at = now
 
 
 def rare_outcome_likelihood_ratio(share):
     """
-    Return the weight of an end that says the more the rarer it is.
+    Return the likelihood ratio of a stuck send, or of a rejection with slots free.
 
-    That is a send that is stuck, or one that is refused with room.
+    The rarer such outcomes are among all sends, the more one tells of its target.
 
     Args:
-      share: The share of all such sends to which that happens. On a route whose work
-        often takes longer than its time, or in a service that refuses much, it says
-        little of one target.
+      share: The share of all comparable sends that end so.
     """
-    return max(1.0, RARE_FAILING / share)
+    return max(1.0, RARE_OUTCOME_RATE_FAILING / share)
