--- a/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
@@ -1,45 +1,38 @@
 """
-Keep enough of a service's sound targets in use.
-
-Beliefs decide where work goes, and after some failures they may leave half of the
-targets without any. Those that have become sound again then stand idle, and nothing
-but work can tell: requests fail or wait elsewhere, and when hosts are lost at such a
-moment their callers' second tries meet a service of half its size. So the targets of a
-data centre that got nothing lately are tried, the likeliest sound one first, until
-nearly all of the service's expected sound capacity is in use.
-
-How much of it is in use follows from the beliefs: a target counts by its probability
-of being sound. Counting heads instead sends work to the very targets that are out for
-good reason. What this buys and costs is measured by `make floor`, in virtual time.
+Trials that keep enough of a service's healthy targets in use.
+
+After failures, target selection may leave many targets without requests. Those that
+have recovered since stay idle, because only a request can show that they are healthy
+again. Requests then queue at the others, and when hosts are lost at that moment, the
+retries of their callers meet a service with reduced capacity. So the unused targets of
+a data centre get trial requests, the one most likely healthy first, until nearly all of
+the service's expected healthy capacity is in use.
+
+A target counts toward the capacity by its probability of being healthy. Counting each
+target as one would send trials to targets that are rightly avoided.
 """
 
 from collections import deque
 
-# A service is in trouble when this share of its requests was not served lately. Trials
-# must be unbounded before a tenth is lost.
-TROUBLED_FROM = 0.085
-TROUBLED_OVER = 2.5
-TROUBLED_FEWEST = 8
-# One request that fails by itself is no trouble, however few there were.
-UNSERVED_FEWEST = 2
-# The share of the expected sound capacity that is kept in use, beyond the share that an
-# installation asks for: what is sound is only believed, and the more targets have
-# failed lately, the further off that is.
-MARGIN = 0.15
-# Seconds without a request after which a target counts as unused. With the pause until
-# the next request of a data centre this stays below two seconds.
+# A service is degraded if more than this share of its requests in the window was not
+# served. Trials must be unlimited before a tenth is lost.
+DEGRADED_SHARE = 0.085
+DEGRADED_WINDOW = 2.5
+DEGRADED_MIN_REQUESTS = 8
+DEGRADED_MIN_UNSERVED = 2
+# Added to the configured floor share, since the healthy capacity is only an estimate.
+FLOOR_MARGIN = 0.15
+# Seconds without a request after which a target counts as unused.
 UNUSED_AFTER = 1.5
-# Targets that fail more likely than this are left alone. A lone failure is forgotten
-# that far within three seconds.
-TRIAL_FAILING_MOST = 0.6
-# Trials for one request of a host's. Where targets get few requests, each trial is a
-# notable part of all work.
+# Targets whose failing probability is higher get no trials.
+TRIAL_MAX_FAILING_PROBABILITY = 0.6
+# Trials that each request of a host allows for while the service is not degraded.
 TRIALS_PER_REQUEST = 1 / 16
-TRIALS_KEPT = 1.0
+MAX_SAVED_TRIALS = 1.0
 
 
 class RecentResults:
-    """How many of a service's last requests were not served."""
+    """Counts of a service's requests in a sliding window, and of those not served."""
 
     def __init__(self):
         self._entries = deque()
@@ -47,59 +40,62 @@
         self._unserved = 0
 
     def add(self, ended, unserved, now):
-        """Count requests that ended, and those among them that were not served."""
+        """Add requests that ended, and how many of them were not served."""
         self._entries.append((now, ended, unserved))
         self._ended += ended
         self._unserved += unserved
 
     def is_degraded(self, now):
-        """Return whether a notable share of the last requests was not served."""
-        while self._entries and self._entries[0][0] <= now - TROUBLED_OVER:
+        """Return whether too large a share of the requests was not served."""
+        while self._entries and self._entries[0][0] <= now - DEGRADED_WINDOW:
             _, ended, unserved = self._entries.popleft()
             self._ended -= ended
             self._unserved -= unserved
-        if self._ended < TROUBLED_FEWEST or self._unserved < UNSERVED_FEWEST:
+        if (
+            self._ended < DEGRADED_MIN_REQUESTS
+            or self._unserved < DEGRADED_MIN_UNSERVED
+        ):
             return False
-        return self._unserved > TROUBLED_FROM * self._ended
+        return self._unserved > DEGRADED_SHARE * self._ended
 
 
-class _Budget:
-    """How many trials a host's requests for one service allow for in calm times."""
+class _TrialBudget:
+    """The trials that a host's requests for one service allow for."""
 
     def __init__(self):
-        self._left = TRIALS_KEPT
+        self._left = MAX_SAVED_TRIALS
 
     def note_request(self):
-        self._left = min(TRIALS_KEPT, self._left + TRIALS_PER_REQUEST)
+        self._left = min(MAX_SAVED_TRIALS, self._left + TRIALS_PER_REQUEST)
 
     def has_trial(self):
         return self._left >= 1.0
 
     def spend(self):
-        """Count a trial; one that trouble asks for may find nothing left."""
+        """Count a trial; while the service is degraded there may be none left."""
         self._left = max(0.0, self._left - 1.0)
 
 
 class Trials:
-    """One host's trials: which target the next request has to go to, if any."""
+    """Decides which requests of one host are trials, and of which target."""
 
     def __init__(self):
         self._budgets = {}
 
     def find(self, service, list_targets, shared, floor_share, now):
         """
-        Return the target that a request must try, or None.
+        Return the target to which a request has to go as a trial, or None.
 
         Args:
           service: The service's name.
-          list_targets: A function that returns the ids of its usable targets, and the
-            set of those that this host may try. It is asked only if a trial is due:
-            with 240 targets that takes as long as all else that a choice does.
-          shared: The `SharedState` that knows of their work.
-          floor_share: The share of the targets that an installation asks for.
-          now: The present, in seconds.
+          list_targets: A function that returns the ids of the service's usable targets
+            and the set of those that this host may try. Since it is slow with many
+            targets, it is called only if a trial is due.
+          shared: The `SharedState`.
+          floor_share: The configured share of the healthy capacity to keep in use.
+          now: The current time in seconds.
         """
-        budget = self._budgets.setdefault(service, _Budget())
+        budget = self._budgets.setdefault(service, _TrialBudget())
         budget.note_request()
         if not budget.has_trial() and not shared.is_degraded(service, now):
             return None
@@ -115,28 +111,32 @@
         return trial
 
 
-def find_trial(target_ids, near_ids, failing, used_at, floor_share, now):
+def find_trial(
+    target_ids, eligible_ids, failing_probability, used_at, floor_share, now
+):
     """
-    Return the target that needs a request to bring the floor back.
+    Return the target to try so that enough of the healthy capacity is in use.
 
     Args:
       target_ids: The usable targets of a service.
-      near_ids: Those that may be tried here.
-      failing: A function that tells the probability that a target fails its work.
-      used_at: A function that tells when a target last got a request.
-      floor_share: The share of the targets that an installation asks for.
-      now: The present, in seconds.
+      eligible_ids: Those that this host may try.
+      failing_probability: A function that returns a target's failing probability.
+      used_at: A function that returns when a target last got a request.
+      floor_share: The configured share of the healthy capacity to keep in use.
+      now: The current time in seconds.
     Returns:
-      An id, or None while the floor is kept.
+      An id, or None if no trial is needed or possible.
     """
-    sound = {target_id: 1.0 - failing(target_id) for target_id in target_ids}
+    healthy = {
+        target_id: 1.0 - failing_probability(target_id) for target_id in target_ids
+    }
     unused = [t for t in target_ids if now - used_at(t) > UNUSED_AFTER]
-    capacity = sum(sound.values())
-    in_use = capacity - sum(sound[t] for t in unused)
-    if not unused or in_use >= (floor_share + MARGIN) * capacity:
+    capacity = sum(healthy.values())
+    in_use = capacity - sum(healthy[t] for t in unused)
+    if not unused or in_use >= (floor_share + FLOOR_MARGIN) * capacity:
         return None
-    near = [target_id for target_id in unused if target_id in near_ids]
-    if not near:
+    candidates = [target_id for target_id in unused if target_id in eligible_ids]
+    if not candidates:
         return None
-    best = max(near, key=sound.get)
-    return best if sound[best] >= 1.0 - TRIAL_FAILING_MOST else None
+    best = max(candidates, key=healthy.get)
+    return best if healthy[best] >= 1.0 - TRIAL_MAX_FAILING_PROBABILITY else None
