--- a/packages/plumsaddle-core/plumsaddle_core/ops/attempt.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/attempt.py
@@ -1,11 +1,11 @@
 """
-What one request has been through, and so what may still be done and said.
+The sends of one request, and what they allow next.
 
-A caller's try lives on one host only, so at most once needs no agreement: this host
-sends it, and sends it again only when the former send certainly did not run. The
-same record decides which status is true. 408, 421, 429 and 503 promise that the
-request has not run and never will; after a send whose fate is unknown only 502 and
-504 are true, which promise nothing.
+Each request is handled by one host, so at-most-once delivery needs no coordination: the
+host sends a request that is not idempotent again only if no previous send was run. The
+same record decides which status is correct. 408, 421, 429 and 503 promise that the
+request was not run and never will be. After a send with an unknown outcome only 502 and
+504 are correct, which promise nothing.
 """
 
 import enum
@@ -17,12 +17,12 @@
 
 
 class Stage(enum.Enum):
-    """How far a request has come."""
+    """The progress of a request; the outcome is unknown while it is `UNCERTAIN`."""
 
     UNSENT = "unsent"
     SENT = "sent"
     REFUSED = "refused"
-    OPEN = "open"
+    UNCERTAIN = "open"
     ANSWERED = "answered"
 
 
@@ -32,12 +32,12 @@
 
     Args:
       kind: The request's `RequestKind`.
-      tries_most: To how many targets the request may be sent.
+      max_sends: The most targets that the request may be sent to.
     """
 
-    def __init__(self, kind, tries_most):
+    def __init__(self, kind, max_sends):
         self.kind = kind
-        self.tries_most = tries_most
+        self.max_sends = max_sends
         self.stage = Stage.UNSENT
         self.targets = []
         self.may_have_run = False
@@ -50,34 +50,34 @@
 
     def may_send(self):
         """
-        Return whether the request may go to one more target.
+        Return whether the request may go to another target.
 
-        A request that must not repeat may go out again only when each former send
+        A request that is not idempotent may be sent again only if every previous send
         is known not to have run.
         """
-        if self.stage is Stage.ANSWERED or self.sends >= self.tries_most:
+        if self.stage is Stage.ANSWERED or self.sends >= self.max_sends:
             return False
         return self.kind.is_idempotent or not (self.may_have_run or self._outstanding)
 
     def is_known_not_run(self):
-        """Return whether it is true that the request has not run and never will."""
+        """Return whether the request certainly has not run and never will."""
         return not (self.may_have_run or self._outstanding)
 
     def note_send(self, target):
-        """Count a send to a target's id; it is about to be written."""
-        assert self.may_send(), "a request was sent that may not be sent"
+        """Record a send, which is about to be written, to the target with an id."""
+        assert self.may_send(), "request sent although it must not be sent again"
         self.targets.append(target)
         self._outstanding += 1
         self.stage = Stage.SENT
 
     def note_fate(self, fate):
         """
-        Take what became of one send.
+        Record the outcome of one send.
 
         Args:
-          fate: The `SendOutcome`; `WHOLE` ends the request.
+          fate: The `SendOutcome`; `SUCCEEDED` ends the request.
         """
-        assert self._outstanding, "a send ended that was never begun"
+        assert self._outstanding, "outcome recorded without an outstanding send"
         self._outstanding -= 1
         if fate not in NOT_RUN:
             self.may_have_run = True
@@ -86,12 +86,12 @@
         if fate is SendOutcome.SUCCEEDED:
             self.stage = Stage.ANSWERED
         elif not self._outstanding:
-            self.stage = Stage.OPEN if self.may_have_run else Stage.REFUSED
+            self.stage = Stage.UNCERTAIN if self.may_have_run else Stage.REFUSED
 
     def undo_send(self, target):
-        """Undo a send to a target's id of which no byte has gone out."""
-        assert self._outstanding, "a send was taken back that was never begun"
+        """Undo a send, of which no byte was written, to the target with an id."""
+        assert self._outstanding, "send undone without an outstanding send"
         self._outstanding -= 1
         self.targets.remove(target)
         if not self._outstanding and self.stage is Stage.SENT:
-            self.stage = Stage.OPEN if self.may_have_run else Stage.UNSENT
+            self.stage = Stage.UNCERTAIN if self.may_have_run else Stage.UNSENT
--- a/packages/plumsaddle-core/plumsaddle_core/ops/attempt_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/attempt_test.py
@@ -1,5 +1,5 @@
 """
-Property tests of what may be done with a request, against a naive history.
+Property tests of `Attempt` against a model that keeps the whole history.
 """
 
 from hypothesis import settings, strategies as st
@@ -13,7 +13,7 @@
 from ..core.traffic import RequestKind, SendOutcome
 from .attempt import Attempt, Stage
 
-ENDS = [
+OUTCOMES = [
     SendOutcome.SUCCEEDED,
     SendOutcome.NOT_RUN,
     SendOutcome.WRONG_TARGET,
@@ -27,11 +27,10 @@
 
 class AttemptMachine(RuleBasedStateMachine):
     """
-    A caller's order runs twice, or is said not to have run although it has.
+    A request must not run twice, or be reported as not run although it has.
 
-    Sends start, end in every way and in any order, two of one request overlap. The
-    naive version keeps the whole history: a target may have run whatever was sent to
-    it and was not refused by it.
+    Sends overlap and end in any order with any outcome. The model assumes that a target
+    may have run every request that it did not refuse.
     """
 
     def __init__(self):
@@ -56,7 +55,7 @@
         self.open.append(f"t{self.sent}")
 
     @precondition(lambda self: self.open)
-    @rule(fate=st.sampled_from(ENDS), data=st.data())
+    @rule(fate=st.sampled_from(OUTCOMES), data=st.data())
     def end(self, fate, data):
         target = data.draw(st.sampled_from(self.open))
         self.open.remove(target)
@@ -70,30 +69,30 @@
 
     @rule()
     def wait(self):
-        """Let nothing happen, so that a finished request may stay finished."""
+        """Do nothing, so that there is always a rule to run."""
 
     def _may_have_run(self):
         refused = {SendOutcome.NOT_RUN, SendOutcome.WRONG_TARGET}
         return bool(self.open) or any(fate not in refused for fate in self.history)
 
     @invariant()
-    def promises_are_true(self):
+    def known_not_run_is_true(self):
         assert self.attempt.is_known_not_run() == (not self._may_have_run())
 
     @invariant()
-    def what_must_not_repeat_is_sent_once_more_only_if_it_did_not_run(self):
+    def non_idempotent_request_is_resent_only_if_it_did_not_run(self):
         if self.kind is not RequestKind.IDEMPOTENT and self._may_have_run():
             assert not self.attempt.may_send()
 
     @invariant()
-    def an_answered_request_goes_nowhere(self):
+    def answered_request_is_not_sent_again(self):
         if SendOutcome.SUCCEEDED in self.history:
             assert self.attempt.stage is Stage.ANSWERED
             assert not self.attempt.may_send()
 
     @invariant()
     def sends_are_bounded(self):
-        assert self.attempt.sends <= self.attempt.tries_most
+        assert self.attempt.sends <= self.attempt.max_sends
 
 
 AttemptMachine.TestCase.settings = settings(
