--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -21,8 +21,7 @@
 from ..limits.membership import Membership
 from ..limits.quotas import Quotas
 from ..limits.targets import TargetLimits
-from .centre_retry_budget import CentreRetryBudget
-from .failure_estimator import (
+from .belief import (
     FAILURE_LIKELIHOOD_RATIO,
     MAX_SILENCE_LIKELIHOOD_RATIO,
     PATH_MODEL,
@@ -32,6 +31,7 @@
     FailureEstimator,
     rare_outcome_likelihood_ratio,
 )
+from .centre_retry_budget import CentreRetryBudget
 from .floor import RecentResults
 from .peer_updates import (
     Counts,
