--- a/packages/plumsaddle-core/plumsaddle_core/parser/__init__.py
+++ b/packages/plumsaddle-core/plumsaddle_core/parser/__init__.py
@@ -1,1 +1,1 @@
-"""From texts written by people to checked data, with every error at once."""
+"""Parsers for configuration and settings that report all errors at once."""
--- a/packages/plumsaddle-core/plumsaddle_core/parser/places.py
+++ b/packages/plumsaddle-core/plumsaddle_core/parser/places.py
@@ -1,33 +1,33 @@
 """
-Find the line of an entry in a TOML text.
+Line numbers of the entries of a TOML text.
 
-The standard library's TOML reader tells no lines, and an operator with fifty
-targets needs them. A text becomes a map from the path of an entry to the line where
-it begins; a path that is not in the map takes its nearest parent's line.
+The standard library's TOML parser reports no line numbers for valid entries, but error
+messages need them. An index maps the path of an entry to the line where it begins; a
+path that is not in the index gets the line of its nearest ancestor.
 """
 
 import re
 
-TABLE = re.compile(r"^\s*(\[\[?)\s*([A-Za-z0-9_.\"' -]+?)\s*\]\]?\s*(#.*)?$")
+TABLE_HEADER = re.compile(r"^\s*(\[\[?)\s*([A-Za-z0-9_.\"' -]+?)\s*\]\]?\s*(#.*)?$")
 ASSIGNMENT = re.compile(r"^\s*([A-Za-z0-9_.-]+)\s*=")
 
 
 def index_lines(text):
     """
-    Return the line of every table and every key in a text.
+    Return the line of every table and key in a text.
 
     Args:
       text: A TOML text.
     Returns:
-      A dict from a path, a tuple of names and positions, to a line number.
+      A dict from path, a tuple of names and list indices, to line number.
     """
     lines = {(): 1}
     counts = {}
     path = ()
     for number, line in enumerate(text.splitlines(), 1):
-        table = TABLE.match(line)
+        table = TABLE_HEADER.match(line)
         if table:
-            path = _enter_table(table.group(2), table.group(1) == "[[", counts)
+            path = _table_path(table.group(2), table.group(1) == "[[", counts)
             lines.setdefault(path, number)
             continue
         assignment = ASSIGNMENT.match(line)
@@ -36,16 +36,16 @@
     return lines
 
 
-def _enter_table(name, is_array, counts):
+def _table_path(name, is_array, counts):
     """
-    Return the path of a table header.
+    Return the path of a table header and count the elements of arrays.
 
     Args:
       name: The dotted name in the header.
       is_array: Whether the header opens a new element of an array of tables.
-      counts: The number of elements seen of each array so far; it is updated.
+      counts: The number of elements of each array so far; modified in place.
     Returns:
-      The path, with the element's position behind each array's name.
+      The path, with the element's index after each array's name.
     """
     path = ()
     parts = name.split(".")
@@ -61,13 +61,13 @@
 
 def find_line(lines, path):
     """
-    Return the line of a path or of its nearest parent.
+    Return the line of a path or of its nearest ancestor.
 
     Args:
-      lines: What `index_lines` returned.
+      lines: The result of `index_lines`.
       path: The path of an entry.
     Returns:
-      A line number, at least one.
+      A line number, starting at 1.
     """
     path = tuple(path)
     while path not in lines:
--- a/packages/plumsaddle-core/plumsaddle_core/parser/settings.py
+++ b/packages/plumsaddle-core/plumsaddle_core/parser/settings.py
@@ -1,8 +1,8 @@
 """
-Read and check the settings file of one host.
+Parser of a host's settings file.
 
-Settings say what a host is told before it knows anything else: its addresses, its
-data centre, the platform and its first peers. They are read once, at the start.
+Settings contain the host's addresses, its data centre, the platform and the seed peers.
+They are read once, at startup.
 """
 
 from ..core.data import Settings
@@ -15,7 +15,7 @@
 
     Args:
       text: The TOML text.
-      source: The name of the file, for the errors.
+      source: The name of the file, for error messages.
     Returns:
       A `Success` of `Settings`, or a `Failure` of all errors.
     """
@@ -23,7 +23,7 @@
 
 
 def check_listeners(settings):
-    """Yield listeners that share one address."""
+    """Yield an error for each listener whose address is already in use."""
     seen = {}
     for name, address in settings.listen._asdict().items():
         other = seen.setdefault(address, name)
@@ -32,7 +32,7 @@
 
 
 def check_times(settings):
-    """Yield times that would keep the host from noticing an outage."""
+    """Yield an error if checkpoints are not less frequent than reads."""
     platform = settings.platform
     if platform.checkpoint_every <= platform.read_wait:
         message = "must be longer than read_wait"
--- a/packages/plumsaddle-core/plumsaddle_core/parser/text.py
+++ b/packages/plumsaddle-core/plumsaddle_core/parser/text.py
@@ -1,9 +1,9 @@
 """
-From a TOML text to one of the shared tuples, with every error at once.
+Parses TOML into the data types of `core/data.py` and collects all errors.
 
-A text is read, each of its entries is checked against the tuple's types, and then
-the stages of the caller look at what only the whole shows, such as two targets on
-one address. Errors are values and are returned together, sorted by line.
+Entries are validated against the type's fields first. If they are valid, the caller's
+checks look for inconsistencies between entries, such as two targets with the same
+address. Errors are returned together, sorted by line.
 """
 
 import tomllib
@@ -15,16 +15,16 @@
 from .places import find_line, index_lines
 
 
-def parse_text(text, source, shape, stages=()):
+def parse_text(text, source, schema, checks=()):
     """
-    Parse a text into a tuple of the given shape.
+    Parse TOML text into a named tuple.
 
     Args:
       text: The TOML text.
-      source: The name of the file or version, for the errors.
-      shape: The named tuple class that the text must fit.
-      stages: Functions that take the parsed tuple and yield pairs of a path and a
-        message for what is wrong with it.
+      source: The name of the file or version, for error messages.
+      schema: The named tuple class that the text must match.
+      checks: Functions that take the parsed tuple and yield a pair of path and message
+        for each error.
     Returns:
       A `Success` of the tuple, or a `Failure` of a list of `Error`.
     """
@@ -34,36 +34,36 @@
         return Failure([ParseError(source, _line_of(exc), str(exc), "text")])
     lines = index_lines(text)
     try:
-        value = TypeAdapter(shape).validate_python(raw)
+        value = TypeAdapter(schema).validate_python(raw)
     except ValidationError as exc:
-        found = [(item["loc"], _message(item)) for item in _causes(exc.errors())]
+        found = [(item["loc"], _message(item)) for item in _root_errors(exc.errors())]
         return Failure(_as_errors(found, source, lines))
-    found = [pair for stage in stages for pair in stage(value)]
+    found = [pair for check in checks for pair in check(value)]
     if found:
         return Failure(_as_errors(found, source, lines))
     return Success(value)
 
 
-def _causes(items):
+def _root_errors(items):
     """
-    Return the errors without those that only follow from another one.
+    Return the errors without those caused by another one.
 
-    A list whose only entry is wrong is also reported as too short.
+    Pydantic also reports a list as too short if its only entry is invalid.
     """
-    places = [item["loc"] for item in items]
+    paths = [item["loc"] for item in items]
     return [
         item
         for item in items
         if item["type"] != "too_short"
         or not any(
-            len(place) > len(item["loc"]) and place[: len(item["loc"])] == item["loc"]
-            for place in places
+            len(path) > len(item["loc"]) and path[: len(item["loc"])] == item["loc"]
+            for path in paths
         )
     ]
 
 
 def _message(item):
-    """Return one sentence for what pydantic found."""
+    """Return the message for an error found by pydantic."""
     if item["type"] == "extra_forbidden":
         return "unknown key"
     if item["type"] == "missing":
@@ -72,14 +72,14 @@
 
 
 def _line_of(exc):
-    """Return the line that tomllib's message ends with, or one."""
+    """Return the line number in tomllib's message, or 1 if it has none."""
     words = str(exc).split("line ")
     digits = words[-1].split(",")[0] if len(words) > 1 else ""
     return int(digits) if digits.isdigit() else 1
 
 
 def _as_errors(found, source, lines):
-    """Return pairs of path and message as errors, in the order of their lines."""
+    """Convert pairs of path and message to errors sorted by line."""
     errors = [
         ParseError(source, find_line(lines, path), message, ".".join(map(str, path)))
         for path, message in found
