--- a/packages/plumsaddle-core/plumsaddle_core/limits/bucket_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/bucket_test.py
@@ -1,5 +1,5 @@
 """
-Token buckets whose rate changes.
+Tests of token buckets.
 """
 
 import pytest
@@ -22,22 +22,22 @@
     assert bucket.tokens(3.0) == 1.5
 
 
-def test_a_higher_rate_accrues_from_its_change_on():
-    """Guards against a share that grows and counts for the time before."""
+def test_a_higher_rate_applies_from_its_change_on():
+    """Guards against applying a new rate to the time before its change."""
     bucket = TokenBucket(0.1, 1.5, 0.0)
     bucket.set_rate(10.0, 5.0, 4.0)
     assert bucket.tokens(4.0) == 0.4
     assert bucket.tokens(4.1) == pytest.approx(1.4)
 
 
-def test_the_wait_is_until_there_is_a_token():
+def test_the_wait_lasts_until_a_token_is_available():
     bucket = TokenBucket(0.5, 1.5, 0.0)
     assert bucket.wait(0.0) == 2.0
     assert bucket.wait(5.0) == 0.0
 
 
-def test_reserved_tokens_come_one_after_the_other():
-    """Guards against requests that wait and are then sent together."""
+def test_reserved_tokens_become_available_one_by_one():
+    """Guards against waiting requests that are all sent at the same time."""
     bucket = TokenBucket(2.0, 1.0, 0.0)
     waits = []
     for _ in range(3):
