--- a/packages/plumsaddle-core/plumsaddle_core/parser/text.py
+++ b/packages/plumsaddle-core/plumsaddle_core/parser/text.py
@@ -12,7 +12,7 @@
 from returns.result import Failure, Success
 
 from ..core.data import ParseError
-from .places import find_line, index_lines
+from .line_index import find_line, index_lines
 
 
 def parse_text(text, source, schema, checks=()):
