--- a/packages/plumsaddle-core/plumsaddle_core/ops/latency.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/latency.py
@@ -1,18 +1,18 @@
 """
-How long is too long, measured by a service's own recent answers.
+Latency thresholds relative to a service's recent answers.
 
-The reference is the median of the last answers of all targets of a service, for
-each kind of request. It is robust while fewer than half of the answers come from
-slow targets, and when a whole service grows slow it moves along, so that nobody is
-blamed for what all do.
+The reference is the median latency of a service's recent answers, over all its targets
+and for each kind of request. It is robust while fewer than half of the answers come
+from slow targets, and follows a service that slows down as a whole, so that no single
+target is blamed for that.
 """
 
 import statistics
 from collections import deque
 
-KEPT = 64
-RENEW_EVERY = 8
-FEWEST = 20
+MAX_SAMPLES = 64
+SAMPLES_PER_UPDATE = 8
+MIN_SAMPLES = 20
 SLOW_FACTOR = 3.5
 OVERDUE_FACTOR = 12.0
 SLOW_MARGIN = 0.02
@@ -22,16 +22,16 @@
     """The recent latencies of one kind of request to one service, in seconds."""
 
     def __init__(self):
-        self._recent = deque(maxlen=KEPT)
-        self._since = 0
+        self._recent = deque(maxlen=MAX_SAMPLES)
+        self._samples_since_update = 0
         self._median = None
 
     def note(self, seconds):
-        """Take the latency of one whole answer."""
+        """Record the latency of one complete answer."""
         self._recent.append(seconds)
-        self._since += 1
-        if self._since >= RENEW_EVERY:
-            self._since = 0
+        self._samples_since_update += 1
+        if self._samples_since_update >= SAMPLES_PER_UPDATE:
+            self._samples_since_update = 0
             self._median = statistics.median(self._recent)
 
     def slow_after(self):
@@ -41,7 +41,7 @@
         return SLOW_FACTOR * self._median + SLOW_MARGIN
 
     def overdue_after(self):
-        """Return the seconds after which a try counts as failed, or None."""
+        """Return the seconds after which a try counts as failed, or None if unknown."""
         if self._median is None:
             return None
         return OVERDUE_FACTOR * self._median + SLOW_MARGIN
