--- a/packages/plumsaddle-core/plumsaddle_core/ops/route_times.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/route_times.py
@@ -1,50 +1,44 @@
 """
-How long a route's requests usually take, and how often they take far too long.
+The typical duration of a route's requests, and the rates of stuck and rejected sends.
 
-How often a service's targets refuse work stands here too.
+Routes of one service can differ a hundredfold, so durations are kept for each route of
+each service. With one median for all, requests of the slower routes would look stuck.
 
-Routes of one service can differ a hundredfold, so a median over all of them would make
-the longer ones look stuck. So times are kept for each route of each service.
-
-Times are those of the work, without the wait for a slot. With the wait in it, the
-median of a busy service grew to twice its work; added to the wait that is expected of
-each target, it made all sound targets look too late, and a fifth of the look-ups went
-to targets that had just failed, which at least seemed quick.
+Durations exclude the wait for a slot. That wait is estimated for each target, and would
+otherwise be counted twice and make healthy targets look too slow.
 """
 
 import statistics
 from collections import deque
 
-# Answers that a median, and sends that a share is taken of: some seconds of a busy
-# route's work, so both follow a change within seconds.
-KEPT = 48
-# Answers before a median is believed; of fewer, one odd answer decides it.
-FEWEST = 5
-# The median before any answer was seen, in seconds; an ordinary request's work.
+# Samples per median and per rate. Few enough to follow a change within seconds.
+MAX_SAMPLES = 48
+# A median of fewer samples could be decided by a single outlier.
+MIN_SAMPLES = 5
+# The least duration in seconds assumed for a route without enough samples.
 DEFAULT_DURATION = 0.3
-# What the share of stuck or refused sends starts from: one in ten, as if ten had been
-# seen.
-RARE_AT_FIRST = 1.0
-SEEN_AT_FIRST = 10.0
+# Prior of the rates of stuck and rejected sends: one in ten.
+PRIOR_RARE_COUNT = 1.0
+PRIOR_SAMPLE_COUNT = 10.0
 
 
 class RouteTimes:
-    """The recent times and stuck sends of all routes, and refusals of all services."""
+    """Recent durations and stuck sends by route, and rejected sends by service."""
 
     def __init__(self):
         self._times = {}
-        # The medians by service and route, None where a time has come since.
+        # Medians by service and route; None if they must be computed anew.
         self._medians = {}
         self._stuck = {}
         self._shed = {}
 
     def typical_duration(self, service, route):
         """
-        Return the median seconds of work behind a route's recent whole answers.
+        Return the median duration of a route's recent successful requests, in seconds.
 
-        A route that is new is taken to be like the slowest known one of its service,
-        and never for quicker than ordinary work: else ordinary requests beside a route
-        that takes milliseconds look stuck from the first one on.
+        A route without enough samples is assumed to be like the slowest known route of
+        its service, and to take at least `DEFAULT_DURATION`. A lower estimate would
+        make its first requests look stuck.
         """
         medians = self._medians.get(service, {})
         if route in medians:
@@ -53,41 +47,40 @@
         return max(DEFAULT_DURATION, max(others, default=0.0))
 
     def _median(self, service, route):
-        """Return a known route's median, worked out when it is asked for."""
+        """Return the median of a route with enough samples, computing it if needed."""
         medians = self._medians[service]
         if medians[route] is None:
             medians[route] = statistics.median(self._times[service, route])
         return medians[route]
 
     def note_success(self, service, route, seconds):
-        """Take the seconds of work behind a whole answer."""
-        _note_rare(self._stuck, (service, route), False)
-        _note_rare(self._shed, service, False)
+        """Record the duration of a successful request."""
+        _note_rare_outcome(self._stuck, (service, route), False)
+        _note_rare_outcome(self._shed, service, False)
         self.note_late(service, route, seconds)
 
     def note_late(self, service, route, seconds):
         """
-        Take the seconds of work behind a whole answer to a send that counts as stuck.
+        Record the duration of a successful request that had been counted as stuck.
 
-        A median that is far too short makes all sends look stuck. If their times were
-        left out, it would stay as it is for ever: a third of a service's look-ups were
-        sent twice, and their targets doubted, for that reason.
+        Without these samples, a median that is far too short would make all sends look
+        stuck and never recover.
         """
-        recent = self._times.setdefault((service, route), deque(maxlen=KEPT))
+        recent = self._times.setdefault((service, route), deque(maxlen=MAX_SAMPLES))
         recent.append(seconds)
-        if len(recent) >= FEWEST:
+        if len(recent) >= MIN_SAMPLES:
             self._medians.setdefault(service, {})[route] = None
 
     def note_stuck(self, service, route):
-        """Take a stuck send, and return the share that was stuck before it."""
-        return _note_rare(self._stuck, (service, route), True)
+        """Record a stuck send, and return the share of stuck sends before it."""
+        return _note_rare_outcome(self._stuck, (service, route), True)
 
     def note_shed(self, service):
-        """Take a refusal, and return the share of sends that was refused before it."""
-        return _note_rare(self._shed, service, True)
+        """Record a rejected send, and return the share of rejected sends before it."""
+        return _note_rare_outcome(self._shed, service, True)
 
     def retain_routes(self, routes):
-        """Forget the routes whose names are not among those given."""
+        """Forget all routes whose names are not given."""
         self._times = {k: v for k, v in self._times.items() if k[1] in routes}
         self._stuck = {k: v for k, v in self._stuck.items() if k[1] in routes}
         for service, medians in self._medians.items():
@@ -95,9 +88,9 @@
             self._medians[service] = kept
 
 
-def _note_rare(ends, key, has_happened):
-    """Take whether a rare end has happened, and return its share before this one."""
-    recent = ends.setdefault(key, deque(maxlen=KEPT))
-    share = (sum(recent) + RARE_AT_FIRST) / (len(recent) + SEEN_AT_FIRST)
-    recent.append(has_happened)
+def _note_rare_outcome(outcomes, key, is_rare):
+    """Record whether an outcome was rare, and return the share of rare ones before."""
+    recent = outcomes.setdefault(key, deque(maxlen=MAX_SAMPLES))
+    share = (sum(recent) + PRIOR_RARE_COUNT) / (len(recent) + PRIOR_SAMPLE_COUNT)
+    recent.append(is_rare)
     return share
