--- a/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
@@ -18,7 +18,7 @@
 from ..core.traffic import Target
 
 # Services with up to this many targets are used without subsetting.
-MIN_TARGETS_FOR_SUBSET = 48
+MAX_TARGETS_WITHOUT_SUBSET = 48
 # Bounds of the number of targets in the host's own data centre. With the maximum, some
 # are still idle when a third of the targets fail and others are busy.
 MAX_LOCAL_TARGETS = 32
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -29,8 +29,8 @@
 from plumsaddle_core.ops.route_table import build_route_table
 from plumsaddle_core.ops.shared_state import SharedState
 from plumsaddle_core.ops.subset import (
+    MAX_TARGETS_WITHOUT_SUBSET,
     MIN_SUBSET_SCORE,
-    MIN_TARGETS_FOR_SUBSET,
     EventRate,
     order_targets,
     subset_size,
@@ -308,7 +308,7 @@
 
     def _subset(self, service, usable, rate):
         """Return the targets of a service that this host keeps to."""
-        if len(usable) <= MIN_TARGETS_FOR_SUBSET:
+        if len(usable) <= MAX_TARGETS_WITHOUT_SUBSET:
             return usable
         revision, ranked = self._ranked.get(service, (-1, None))
         if revision != self.registry.revision:
