--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -43,8 +43,8 @@
     tag_of,
 )
 from .remote_load import Elsewhere
-from .route_times import RouteTimes
 from .suspects import SuspectRequests
+from .times import RouteTimes
 
 # Hosts beat once a second; three missed beats and a little is silence.
 SILENT_AFTER = 3.5
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
@@ -8,8 +8,8 @@
 from .centre_retry_budget import SAFETY_FACTOR, CentreRetryBudget
 from .choice import Candidate, RequestProfile, choose_target
 from .peer_updates import Counts, HealthSignal, OutcomeRecord, PeerUpdate, tag_of
-from .route_times import DEFAULT_DURATION
 from .shared_state import SILENT_AFTER, SharedState
+from .times import DEFAULT_DURATION
 
 
 def _shared():
