--- a/packages/plumsaddle-core/plumsaddle_core/ops/claims.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/claims.py
@@ -31,7 +31,7 @@
 class Decision(NamedTuple):
     """Whether a claim that the host waited for has won its key."""
 
-    claim: ClaimId
+    claim_id: ClaimId
     is_won: bool
 
 
@@ -96,7 +96,7 @@
     def _is_orphan(self, entry):
         """Return whether no host will record an outcome for this claim any more."""
         if entry.host == self.host:
-            return entry.claim not in self._states
+            return entry.claim_id not in self._states
         return self.is_gone(entry.host)
 
     def register(self, claim):
@@ -106,9 +106,9 @@
         Args:
           claim: A `Claim` with a fresh id.
         """
-        assert claim.claim not in self._states, "a claim id was registered twice"
-        self._states[claim.claim] = LocalState.WAITING
-        self._claims[claim.claim] = claim
+        assert claim.claim_id not in self._states, "a claim id was registered twice"
+        self._states[claim.claim_id] = LocalState.WAITING
+        self._claims[claim.claim_id] = claim
 
     def feed(self, record):
         """
@@ -132,7 +132,7 @@
             if isinstance(event, Claim) and event.host == self.host:
                 self._decide(event, decisions, releases)
             elif isinstance(event, OUTCOMES):
-                self._forget_finished(event.claim)
+                self._forget_finished(event.claim_id)
         return decisions, releases
 
     def _forget_finished(self, claim):
@@ -149,18 +149,18 @@
         entry = self.fold.state.entries.get(event.key)
         is_holder = (
             entry is not None
-            and entry.claim == event.claim
+            and entry.claim_id == event.claim_id
             and entry.state is ClaimState.CLAIMED
         )
-        state = self._states.get(event.claim)
+        state = self._states.get(event.claim_id)
         if state is LocalState.WAITING:
             if is_holder:
-                self._states[event.claim] = LocalState.WON
+                self._states[event.claim_id] = LocalState.WON
             else:
-                self._forget(event.claim)
-            decisions.append(Decision(event.claim, is_holder))
+                self._forget(event.claim_id)
+            decisions.append(Decision(event.claim_id, is_holder))
         elif state is None and is_holder:
-            releases.append(Released(event.key, event.key_time, event.claim))
+            releases.append(Released(event.key, event.key_time, event.claim_id))
 
     def start_sending(self, claim):
         """
@@ -195,7 +195,7 @@
         )
         claimed = self._forget(claim)
         if state is LocalState.WON:
-            return [Released(claimed.key, claimed.key_time, claimed.claim)]
+            return [Released(claimed.key, claimed.key_time, claimed.claim_id)]
         return []
 
     def finish(self, claim, status, content_type, body):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/claims_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/claims_test.py
@@ -63,21 +63,21 @@
             return
         key = event.key
         if isinstance(event, Claim):
-            if event.claim in self.void or self.holder.get(key) == event.claim:
+            if event.claim_id in self.void or self.holder.get(key) == event.claim_id:
                 return
             if self.state.get(key, ClaimState.FREE) is ClaimState.FREE:
-                self.holder[key] = event.claim
+                self.holder[key] = event.claim_id
                 self.state[key] = ClaimState.CLAIMED
             else:
-                self.void.add(event.claim)
+                self.void.add(event.claim_id)
             return
         is_open = self.state.get(key) in (ClaimState.CLAIMED, ClaimState.UNKNOWN)
-        is_holder = self.holder.get(key) == event.claim
+        is_holder = self.holder.get(key) == event.claim_id
         if isinstance(event, Released):
             if not is_holder:
-                self.void.add(event.claim)
+                self.void.add(event.claim_id)
             elif self.state[key] is ClaimState.CLAIMED:
-                self.void.add(event.claim)
+                self.void.add(event.claim_id)
                 self.state[key] = ClaimState.FREE
         elif is_holder and is_open:
             self._close(key, event)
@@ -90,7 +90,7 @@
         elif isinstance(event, Settled) and event.has_run:
             self.state[key] = ClaimState.DONE
         elif isinstance(event, Settled):
-            self.void.add(event.claim)
+            self.void.add(event.claim_id)
             self.state[key] = ClaimState.FREE
 
 
@@ -145,16 +145,16 @@
         if known is not None and self.consults_log:
             return
         claim = Claim(key, KEY_TIMES[key], body, next(self.ids), host.name, key)
-        self.claims_by_id[claim.claim] = claim
+        self.claims_by_id[claim.claim_id] = claim
         host.claims.register(claim)
-        host.waiting.add(claim.claim)
-        host.registered.add(claim.claim)
+        host.waiting.add(claim.claim_id)
+        host.registered.add(claim.claim_id)
         if append_result in ("taken", "lost"):
             self.append([claim])
         elif append_result == "late":
             self.late.append((claim,))
         if not self.consults_log:
-            host.won.add(claim.claim)
+            host.won.add(claim.claim_id)
 
     @rule(number=host_index, count=st.integers(1, 3))
     def read_some(self, number, count):
@@ -176,9 +176,9 @@
             if releases:
                 self.append(releases)
             for decision in decisions:
-                host.waiting.discard(decision.claim)
+                host.waiting.discard(decision.claim_id)
                 if decision.is_won and self.consults_log:
-                    host.won.add(decision.claim)
+                    host.won.add(decision.claim_id)
 
     @rule(number=host_index)
     def give_up(self, number):
@@ -293,10 +293,10 @@
             return
         if not has_run:
             # The operator must have checked that the host stopped and nothing ran.
-            if entry.host not in self.crashed or entry.claim in self.executed:
+            if entry.host not in self.crashed or entry.claim_id in self.executed:
                 return
-            self.reported_not_run.add(entry.claim)
-        self.append([Settled(key, entry.claim, has_run, "op")])
+            self.reported_not_run.add(entry.claim_id)
+        self.append([Settled(key, entry.claim_id, has_run, "op")])
 
     @invariant()
     def no_order_runs_twice(self):
@@ -316,7 +316,7 @@
         for host in self.hosts:
             if host.fold.complete:
                 entries = host.fold.state.entries.values()
-                held = {e.key: (e.claim, e.state) for e in entries if e.host}
+                held = {e.key: (e.claim_id, e.state) for e in entries if e.host}
                 assert held == self.states[host.fold.next_offset]
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/orders.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/orders.py
@@ -35,7 +35,7 @@
     key: OrderKey
     key_time: int
     fingerprint: str
-    claim: ClaimId
+    claim_id: ClaimId
     host: Incarnation
     label: str
 
@@ -44,7 +44,7 @@
     """The target's answer to an order, without its body if that is not stored."""
 
     key: OrderKey
-    claim: ClaimId
+    claim_id: ClaimId
     status: int
     content_type: str
     body: bytes | None
@@ -54,7 +54,7 @@
     """The claiming host cannot determine whether the order was run."""
 
     key: OrderKey
-    claim: ClaimId
+    claim_id: ClaimId
     detail: str
 
 
@@ -63,14 +63,14 @@
 
     key: OrderKey
     key_time: int
-    claim: ClaimId
+    claim_id: ClaimId
 
 
 class Settled(NamedTuple):
     """An operator's decision on a claim without an outcome."""
 
     key: OrderKey
-    claim: ClaimId
+    claim_id: ClaimId
     has_run: bool
     operator: str
 
@@ -94,7 +94,7 @@
     key: OrderKey
     key_time: int
     fingerprint: str
-    claim: ClaimId
+    claim_id: ClaimId
     host: Incarnation
     label: str
     state: ClaimState
@@ -137,13 +137,13 @@
     entry = orders.entries.get(event.key)
     if entry is None:
         orders.entries[event.key] = _claimed_entry(event, ())
-    elif event.claim == entry.claim or event.claim in entry.void_claims:
+    elif event.claim_id == entry.claim_id or event.claim_id in entry.void_claims:
         return
     elif entry.state is ClaimState.FREE:
         orders.entries[event.key] = _claimed_entry(event, entry.void_claims)
     else:
         orders.entries[event.key] = entry._replace(
-            void_claims=entry.void_claims + (event.claim,)
+            void_claims=entry.void_claims + (event.claim_id,)
         )
 
 
@@ -154,7 +154,7 @@
 
 def _apply_done(orders, event):
     entry = orders.entries.get(event.key)
-    if entry and entry.claim == event.claim and entry.state in OPEN_STATES:
+    if entry and entry.claim_id == event.claim_id and entry.state in OPEN_STATES:
         orders.entries[event.key] = entry._replace(
             state=ClaimState.DONE,
             status=event.status,
@@ -165,7 +165,7 @@
 
 def _apply_unknown(orders, event):
     entry = orders.entries.get(event.key)
-    if entry and entry.claim == event.claim and entry.state is ClaimState.CLAIMED:
+    if entry and entry.claim_id == event.claim_id and entry.state is ClaimState.CLAIMED:
         orders.entries[event.key] = entry._replace(
             state=ClaimState.UNKNOWN, detail=event.detail
         )
@@ -185,17 +185,17 @@
                 event.key,
                 event.key_time,
                 fingerprint="",
-                claim=event.claim,
+                claim_id=event.claim_id,
                 host=Incarnation(""),
                 label="",
                 state=ClaimState.FREE,
-                void_claims=(event.claim,),
+                void_claims=(event.claim_id,),
             )
         return
-    if event.claim in entry.void_claims:
+    if event.claim_id in entry.void_claims:
         return
-    void_claims = entry.void_claims + (event.claim,)
-    if entry.claim != event.claim:
+    void_claims = entry.void_claims + (event.claim_id,)
+    if entry.claim_id != event.claim_id:
         orders.entries[event.key] = entry._replace(void_claims=void_claims)
     elif entry.state is ClaimState.CLAIMED:
         orders.entries[event.key] = entry._replace(
@@ -205,13 +205,13 @@
 
 def _apply_settled(orders, event):
     entry = orders.entries.get(event.key)
-    if not entry or entry.claim != event.claim or entry.state not in OPEN_STATES:
+    if not entry or entry.claim_id != event.claim_id or entry.state not in OPEN_STATES:
         return
     detail = f"settled by {event.operator}"
     if event.has_run:
         entry = entry._replace(state=ClaimState.DONE, status=0, detail=detail)
     else:
-        void_claims = entry.void_claims + (event.claim,)
+        void_claims = entry.void_claims + (event.claim_id,)
         entry = entry._replace(
             state=ClaimState.FREE, detail=detail, void_claims=void_claims
         )
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/admin.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/admin.py
@@ -173,7 +173,7 @@
                         "key": entry.label,
                         "hash": entry.key,
                         "stream": shard.stream,
-                        "claim": entry.claim,
+                        "claim": entry.claim_id,
                         "host": entry.host,
                         "state": entry.state.value,
                         "status": entry.status,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/shards.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/shards.py
@@ -67,7 +67,7 @@
             if isinstance(event, Ping):
                 self.batcher.note_ping(event)
         for decision in decisions:
-            fut = self._waiters.pop(decision.claim, None)
+            fut = self._waiters.pop(decision.claim_id, None)
             if fut is not None and not fut.done():
                 fut.set_result(decision.is_won)
 
@@ -96,7 +96,7 @@
         """
         loop = asyncio.get_running_loop()
         decided = loop.create_future()
-        self._waiters[claim.claim] = decided
+        self._waiters[claim.claim_id] = decided
         self.claims.register(claim)
         appended = self.batcher.submit([claim])
         try:
@@ -106,9 +106,9 @@
                 is_won = await decided
         except TimeoutError:
             is_won = None
-        self._waiters.pop(claim.claim, None)
+        self._waiters.pop(claim.claim_id, None)
         if is_won is None:
-            self.give_up(claim.claim)
+            self.give_up(claim.claim_id)
             return Failure(
                 refuse(Reason.LOG_UNAVAILABLE, "the claim is not in the log")
             )
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/front/orders.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/front/orders.py
@@ -100,9 +100,9 @@
         return known or Failure(refuse(Reason.ORDER_RUNNING, outcome=Outcome.UNKNOWN))
     if asyncio.get_running_loop().time() >= deadline:
         state.room.release(member)
-        shard.give_up(claim.claim)
+        shard.give_up(claim.claim_id)
         return Failure(refuse(Reason.DEADLINE, "the log took too long"))
-    is_sending = shard.claims.start_sending(claim.claim)
+    is_sending = shard.claims.start_sending(claim.claim_id)
     assert is_sending, "a claim was won and given up"
     return await _send(host, state, shard, claim, member, incoming, body, deadline)
 
@@ -126,19 +126,19 @@
             return await _record(shard, state.service, claim, result.unwrap())
         trouble = result.failure()
         if not trouble.is_unsent:
-            shard.deliver(shard.claims.finish_unknown(claim.claim, trouble.detail))
+            shard.deliver(shard.claims.finish_unknown(claim.claim_id, trouble.detail))
             refusal = refuse_trouble(trouble, Outcome.UNKNOWN)
             return Failure(refusal._replace(retry_after=None))
         unsent += 1
         if trouble.kind is not FailureKind.SHED:
             tried += (member.target.key,)
         if not may_retry(state, trouble, len(tried), unsent):
-            shard.deliver(shard.claims.finish_unsent(claim.claim))
+            shard.deliver(shard.claims.finish_unsent(claim.claim_id))
             return Failure(refuse_trouble(trouble, Outcome.NOT_RUN))
         host.metrics.retries.inc({"reason": RETRY_WORDS[trouble.kind].value})
         slot = await state.room.acquire(RequestKind.ORDER, deadline, tried)
         if isinstance(slot, Failure):
-            shard.deliver(shard.claims.finish_unsent(claim.claim))
+            shard.deliver(shard.claims.finish_unsent(claim.claim_id))
             return slot
         member = slot.unwrap()
 
@@ -153,13 +153,13 @@
     if answer.rest is not None:
         answer = await _read_rest(answer)
     if answer is None:
-        events = shard.claims.finish_unknown(claim.claim, "the answer broke off")
+        events = shard.claims.finish_unknown(claim.claim_id, "the answer broke off")
         shard.deliver(events)
         return Failure(refuse(Reason.TARGET_FAILED, outcome=Outcome.UNKNOWN))
     is_kept = service.record_answers and len(answer.body) <= RECORDED_MOST
     shard.deliver(
         shard.claims.finish(
-            claim.claim,
+            claim.claim_id,
             answer.status,
             answer.headers.get("Content-Type", ""),
             answer.body if is_kept else None,
--- a/packages/plumsaddle-standins/plumsaddle_standins/slopes.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/slopes.py
@@ -89,7 +89,7 @@
     for number in range(count):
         key = f"{number:032x}"
         claim = Claim(key, number + 1, "f" * 32, f"{number:032x}", "host-1@1", key)
-        done = Done(key, claim.claim, 200, "application/json", b"x" * 200)
+        done = Done(key, claim.claim_id, 200, "application/json", b"x" * 200)
         data = encode_events([claim]), encode_events([done])
         for part, raw in enumerate(data):
             fold.feed(Record(2 * number + part, decode_events(raw)))
