--- a/packages/plumsaddle-core/plumsaddle_core/limits/advertised.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/advertised.py
@@ -82,7 +82,7 @@
         Record the limit, if any, of an answer.
 
         Args:
-          life: The target's incarnation.
+          incarnation: The target's incarnation.
           rate: The limit in requests a second, or None if the answer has none.
           sent_at: When the request was sent, in seconds.
           now: The present, in seconds.
--- a/packages/plumsaddle-core/plumsaddle_core/limits/liveness.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/liveness.py
@@ -43,9 +43,9 @@
 
     __slots__ = (
         "hosts",
+        "incarnation",
         "is_unreachable",
         "last_message_at",
-        "incarnation",
         "mean_interval",
         "received",
         "recovered_at",
--- a/packages/plumsaddle-core/plumsaddle_core/limits/meter.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/meter.py
@@ -68,26 +68,28 @@
 
 
 class DecayingSum:
-    """A sum that decays exponentially with a time constant of `seconds`."""
+    """A sum that decays exponentially with a time constant, in seconds."""
 
-    __slots__ = ("_at", "_seconds", "_value")
+    __slots__ = ("_time_constant", "_updated_at", "_value")
 
-    def __init__(self, seconds):
-        self._seconds = seconds
+    def __init__(self, time_constant):
+        self._time_constant = time_constant
         self._value = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def add(self, amount, now):
         """Add an amount, and return the sum."""
         self._value = self.at(now) + amount
-        self._at = now
+        self._updated_at = now
         return self._value
 
     def at(self, now):
         """Return the decayed sum at a time."""
         if not self._value:
             return 0.0
-        return self._value * math.exp(min(0.0, (self._at - now) / self._seconds))
+        return self._value * math.exp(
+            min(0.0, (self._updated_at - now) / self._time_constant)
+        )
 
 
 class Meter:
@@ -122,7 +124,7 @@
         self._slots = {}
         self._used = 0.0
         for number in range(
-            self._number(now) - WINDOW_SLOTS, self._number(counted_since)
+            self._slot_number(now) - WINDOW_SLOTS, self._slot_number(counted_since)
         ):
             self._slots[number] = rate * self._slot_length
             self._used += rate * self._slot_length
@@ -132,7 +134,7 @@
         # Admitted requests that other hosts reported.
         self._reported = DecayingSum(REPORTED_WINDOW)
 
-    def _number(self, now):
+    def _slot_number(self, now):
         return int(now / self._slot_length)
 
     def set_limit(self, rate, capacity):
@@ -156,7 +158,7 @@
 
     def note_admitted(self, count, now):
         """Count requests that any host admitted; a negative count releases them."""
-        number = self._number(now)
+        number = self._slot_number(now)
         self._slots[number] = self._slots.get(number, 0.0) + count
         self._used += count
 
@@ -181,7 +183,7 @@
 
     def remaining(self, now):
         """Return how many more requests the window allows."""
-        oldest = self._number(now) - WINDOW_SLOTS
+        oldest = self._slot_number(now) - WINDOW_SLOTS
         while self._slots:
             number = next(iter(self._slots))
             if number >= oldest:
@@ -206,7 +208,8 @@
         if remaining < 1.0:
             return 0.0
         expiring = (
-            self._slots.get(self._number(now) - WINDOW_SLOTS, 0.0) / self._slot_length
+            self._slots.get(self._slot_number(now) - WINDOW_SLOTS, 0.0)
+            / self._slot_length
         )
         allowed_rate = (
             expiring + (remaining - MARGIN_FRACTION * self.capacity) / ADMISSION_HORIZON
--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -1,10 +1,10 @@
 """
-Rate limits of workspaces, kept by all hosts together.
+Rate limits of workspaces that all hosts enforce together.
 
-Each host counts the requests of each workspace, all and admitted, and gossips
-decaying sums of them (`sums`). Hosts of a data centre report all requests to each
-other; other data centres receive sums over the hosts of the data centre, and only for
-workspaces near their limit. Idle workspaces hold no state.
+Each host counts the requests of each workspace, all and admitted, and gossips decaying
+sums of them (`sums`). Hosts of a data centre report all requests to each other; other
+data centres receive sums over the hosts of the data centre, and only for workspaces
+near their limit. Idle workspaces hold no state.
 
 An unreachable host may have crashed or may be partitioned and still serving
 (`liveness`), so its share of each limit stays reserved. The share is proportional to
@@ -211,13 +211,13 @@
         return state
 
     def _evict(self, tag):
-        for kept in (
+        for table in (
             self._states,
             self._last_used_at,
             self._local_pending,
             self._remote_pending,
         ):
-            kept.pop(tag, None)
+            table.pop(tag, None)
         for source in self._liveness.sources():
             source.received.evict(tag)
 
@@ -343,7 +343,7 @@
         return state.reachable_share
 
     def _count_unreported(self, state, share, now):
-        """Count what lost hosts with a share admitted before they were missed."""
+        """Count what lost hosts are estimated to have admitted until the detection."""
         if share <= 0.0:
             return
         meter = state.meter
--- a/packages/plumsaddle-core/plumsaddle_core/limits/sums.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/sums.py
@@ -49,28 +49,28 @@
 class DecayingCounts:
     """The decaying sums of a workspace's requests, all and admitted."""
 
-    __slots__ = ("_admitted", "_at", "_requested")
+    __slots__ = ("_admitted", "_requested", "_updated_at")
 
     def __init__(self):
-        self._requested = self._admitted = self._at = 0.0
+        self._requested = self._admitted = self._updated_at = 0.0
 
     def add(self, requested, admitted, now):
         """Count requests, and how many of them were admitted."""
-        remaining = decay(1.0, now - self._at)
-        self._requested = self._requested * remaining + requested
-        self._admitted = self._admitted * remaining + admitted
-        self._at = now
+        factor = decay(1.0, now - self._updated_at)
+        self._requested = self._requested * factor + requested
+        self._admitted = self._admitted * factor + admitted
+        self._updated_at = now
 
     def requested(self, now):
         """Return the decayed sum of all requests."""
-        return decay(self._requested, now - self._at)
+        return decay(self._requested, now - self._updated_at)
 
     def row(self, tag, now):
         """Return both sums as a `QuotaRow`."""
-        remaining = SCALE * decay(1.0, now - self._at)
+        factor = SCALE * decay(1.0, now - self._updated_at)
         requested, admitted = (
-            round(remaining * self._requested),
-            round(remaining * self._admitted),
+            round(factor * self._requested),
+            round(factor * self._admitted),
         )
         return QuotaRow(tag, max(0, requested), max(0, admitted))
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
@@ -33,10 +33,10 @@
 class _ServiceLimits:
     """The limited targets of a service, and this host's buckets."""
 
-    __slots__ = ("buckets", "key", "total_rate")
+    __slots__ = ("buckets", "shares_key", "total_rate")
 
     def __init__(self):
-        self.key = None
+        self.shares_key = None
         self.buckets = {}
         # The rate of all limited targets of the data centre, in requests a second.
         self.total_rate = 0.0
@@ -134,8 +134,8 @@
             service = self._services[name] = _ServiceLimits()
         may_send = self.membership.may_send(now)
         key = (self.advertised.revision, revision, int(now / SHARES_INTERVAL), may_send)
-        if service.key != key:
-            service.key = key
+        if service.shares_key != key:
+            service.shares_key = key
             limited = [
                 LimitedTarget(
                     t.incarnation, max(MIN_RATE, self.advertised.rate(t.incarnation))
