--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -185,7 +185,7 @@
 
     id: HostId
     centre: DataCentre
-    centres: tuple[DataCentre, ...]
+    data_centres: tuple[DataCentre, ...]
     caller_address: Address
     readiness_address: Address
     peer_address: Address
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -104,7 +104,7 @@
                 Tolerance(
                     bounds.quota_window, bounds.quota_overshoot, bounds.quota_slack
                 ),
-                len(settings.centres),
+                len(settings.data_centres),
                 rng,
             ),
             limits=TargetLimits(
@@ -395,7 +395,7 @@
           service: The service's name.
           urgent: The urgency of the request.
         """
-        centres = max(1, len(self.settings.centres))
+        centres = max(1, len(self.settings.data_centres))
         extra = self.settings.bounds.retry_extra / centres
         return self.shared.may_retry(service, extra, now(), usable_retry_share(urgent))
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/strangers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/strangers.py
@@ -28,7 +28,7 @@
 
     def __init__(self, settings, rng):
         self._own = settings.centre
-        self._others = set(settings.centres) - {settings.centre}
+        self._others = set(settings.data_centres) - {settings.centre}
         self._rng = rng
         self._heard_at = {}
 
