--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -184,7 +184,7 @@
     """
 
     id: HostId
-    centre: DataCentre
+    data_centre: DataCentre
     data_centres: tuple[DataCentre, ...]
     caller_address: Address
     readiness_address: Address
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -314,7 +314,7 @@
         if revision != self.registry.revision:
             settings = self.settings
             listed = self.registry.usable(service)
-            ranked = order_targets(listed, settings.id, settings.centre)
+            ranked = order_targets(listed, settings.id, settings.data_centre)
             self._ranked[service] = (self.registry.revision, ranked)
         hosts = self.shared.live_host_count()
         subset = ranked.subset(subset_size(len(ranked.local), hosts, rate))
@@ -342,13 +342,13 @@
         near = {
             target.incarnation
             for target in usable
-            if target.centre == self.settings.centre
+            if target.data_centre == self.settings.data_centre
             and not self.shared.is_path_broken(target.incarnation, at)
         }
         return [target.incarnation for target in usable], near
 
     def _weigh(self, target, has_link, at):
-        is_near = target.centre == self.settings.centre
+        is_near = target.data_centre == self.settings.data_centre
         return Candidate(
             target,
             self.shared.failure_probability(target.incarnation, at),
@@ -429,7 +429,7 @@
         looks like the best choice and draws the work of all: with half of a service's
         targets like that, one request in five was refused, one in a hundred with this.
         """
-        is_near = target.centre == self.settings.centre
+        is_near = target.data_centre == self.settings.data_centre
         return is_near and self.shared.in_flight(target.incarnation) < target.slots
 
     def note_run(self, note):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/limits.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/limits.py
@@ -58,7 +58,7 @@
           at: The present, in seconds.
         """
         usable = self._registry.usable(service)
-        centre, revision = self._settings.centre, self._registry.revision
+        centre, revision = self._settings.data_centre, self._registry.revision
         return self._limits.admissible(usable, centre, longest, revision, at)
 
     def retry_after(self, service, at):
@@ -70,7 +70,7 @@
         usable = self._registry.usable(service)
         if not any(self.rate(target) is not None for target in usable):
             return None
-        centre, revision = self._settings.centre, self._registry.revision
+        centre, revision = self._settings.data_centre, self._registry.revision
         return self._limits.retry_after(usable, centre, revision, at)
 
     def wait(self, target, at):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -69,7 +69,7 @@
             evidence = []
         limits = self._limit_rows(is_periodic=bool(used))
         if evidence or used or runs or limits:
-            far = Far(settings.id, self._life, settings.centre, evidence, used)
+            far = Far(settings.id, self._life, settings.data_centre, evidence, used)
             far.runs = runs
             far.limits = limits
             self._send_to_each(encode(far), at)
@@ -89,7 +89,7 @@
             return
         self._load_number += 1
         load = Load(
-            settings.centre,
+            settings.data_centre,
             settings.id,
             self._life,
             self._load_number,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -204,7 +204,7 @@
     def _ask(self, at):
         """Ask the seeds, and the hosts that are known elsewhere, for others."""
         settings = self._settings
-        hello = encode(Hello(settings.id, settings.centre, settings.peer_address))
+        hello = encode(Hello(settings.id, settings.data_centre, settings.peer_address))
         asked = set(settings.seeds)
         for strangers in self._others.strangers.some(at).values():
             asked.update(strangers)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/strangers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/strangers.py
@@ -27,8 +27,8 @@
     """
 
     def __init__(self, settings, rng):
-        self._own = settings.centre
-        self._others = set(settings.data_centres) - {settings.centre}
+        self._own = settings.data_centre
+        self._others = set(settings.data_centres) - {settings.data_centre}
         self._rng = rng
         self._heard_at = {}
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -183,7 +183,7 @@
 
     def _take_asked(self, centre, hosts, rows, at):
         """Take what workspaces asked of another data centre."""
-        if centre != self._settings.centre:
+        if centre != self._settings.data_centre:
             self._shared.quotas.merge_remote(centre, HostCount(*hosts), rows, at)
 
     def _take_far_news(self, far, at):
@@ -252,14 +252,14 @@
     def _take_hello(self, hello, address, at):
         """Answer a host that looks for others of its data centre."""
         strangers = self._others.strangers.some(at)
-        if hello.centre == self._settings.centre:
+        if hello.data_centre == self._settings.data_centre:
             known = self._peer_table.addresses()
             self._peer_table.add_candidate(address, at)
         else:
             known = self._others.strangers.of(hello.centre, at)
             self._others.strangers.remember(hello.centre, address, at)
             own = [*self._peer_table.addresses(), self._settings.peer_address]
-            strangers[self._settings.centre] = own[-STRANGERS_NAMED:]
+            strangers[self._settings.data_centre] = own[-STRANGERS_NAMED:]
         known = [a for a in known if a != address]
         self._ways.send(encode(Members(known[:NAMED_MOST], strangers)), address)
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/crashes.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/crashes.py
@@ -90,12 +90,12 @@
 
     def attach(self, host):
         """Put itself between a host and its socket."""
-        self._centres[host.settings.peer_address] = host.settings.centre
+        self._centres[host.settings.peer_address] = host.settings.data_centre
         host.peers._transport = _Filter(self, host)
 
     def passes(self, sender, address):
         """Return whether a datagram arrives."""
-        pair = {sender.settings.centre, self._centres.get(address)}
+        pair = {sender.settings.data_centre, self._centres.get(address)}
         return not (len(pair) == 2 and pair <= self.cut) and (
             self._rng.random() >= self.loss
         )
@@ -284,7 +284,7 @@
         hubs = [
             number
             for number in self._live
-            if self._trial.hosts[number].settings.centre == centre
+            if self._trial.hosts[number].settings.data_centre == centre
             and self._trial.hosts[number].peers._picked_itself()
         ]
         if hubs:
