--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -57,7 +57,7 @@
     id: TargetId
     service: ServiceName
     address: Address
-    centre: DataCentre
+    data_centre: DataCentre
     slots: int
     state: TargetState
     warmup: float
--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
@@ -141,7 +141,7 @@
                     t.incarnation, max(MIN_RATE, self.advertised.rate(t.incarnation))
                 )
                 for t in targets
-                if t.centre == centre
+                if t.data_centre == centre
                 and self.advertised.rate(t.incarnation) is not None
             ]
             service.total_rate = sum(target.rate for target in limited)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
@@ -61,8 +61,8 @@
     ordered = sorted(
         targets, key=lambda t: zlib.crc32(f"{host} {t.incarnation}".encode())
     )
-    local = [target for target in ordered if target.centre == centre]
-    remote = [target for target in ordered if target.centre != centre]
+    local = [target for target in ordered if target.data_centre == centre]
+    remote = [target for target in ordered if target.data_centre != centre]
     return OrderedTargets(local, remote)
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -357,7 +357,7 @@
             is_near,
             Feature.OPEN_CONNECTIONS not in self.settings.disabled_features
             and has_link(target.incarnation),
-            is_near or self.shared.knows_remote_load(target.centre, at),
+            is_near or self.shared.knows_remote_load(target.data_centre, at),
             self.limits.wait(target, at),
         )
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -165,7 +165,7 @@
     def near(self, centre):
         """Return the ids of a data centre's targets."""
         name = str(centre)
-        return [i for i, w in self.workers.items() if w.target.centre == name]
+        return [i for i, w in self.workers.items() if w.target.data_centre == name]
 
     def _push(self, at, happen, *args):
         heapq.heappush(self._events, (at, next(self._counter), happen, args))
@@ -275,7 +275,9 @@
             is_cold=False,
             is_local=_is_in(model, target_id, centre),
             is_load_known=_is_in(model, target_id, centre)
-            or shared.knows_remote_load(model.workers[target_id].target.centre, at),
+            or shared.knows_remote_load(
+                model.workers[target_id].target.data_centre, at
+            ),
         )
         for target_id in candidate_ids
     ]
@@ -289,7 +291,7 @@
 
 
 def _is_in(model, target_id, centre):
-    return model.workers[target_id].target.centre == str(centre)
+    return model.workers[target_id].target.data_centre == str(centre)
 
 
 def choose_with_trials():
