--- a/packages/plumsaddle-core/plumsaddle_core/ops/pacing.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/pacing.py
@@ -1,97 +1,91 @@
 """
-How much a host may tell the other hosts.
-
-A hub tells all hosts of its data centre what it was told, so what it sends grows with
-their number. If it told each thing at once, it would fill a small link: with 45 hosts
-that did so, ten requests a second each and links of 10 Mbit/s, requests waited half a
-second at their own host's link and the store's news for four, while the processors
-were idle. So telling draws on an allowance that is a small part of the link, and news
-that must wait is told together. Failures may overdraw it: an old count of work in
-flight costs a little waiting, an unknown failure costs the next order.
+Pacing of the updates that a host sends to other hosts.
+
+A hub forwards the updates of all hosts in its data centre to each of them, so its
+traffic grows with the square of their number. Sent one by one, updates would saturate a
+slow link and delay requests and configuration changes. Updates therefore draw on token
+buckets that allow a small part of the link, and those that must wait are sent together.
+Urgent updates, such as failures, may overdraw the byte bucket: a late load count costs
+some waiting, but a late failure costs requests.
 """
 
-# The part of a hub's link that telling may use. Sixty hosts and 140 requests a second
-# make 13 kB a second, compressed, which go to each of the hosts: 3% of a link of
-# 200 Mbit/s and 30% of one of 20 Mbit/s, so there they are told less often.
-TOLD_SHARE = 0.15
-# Datagrams a second that a host may send to tell of work. Each costs processor time at
-# both ends, so a hub of sixty hosts tells them ten times a second and one of twelve
-# fifty times.
-TOLD_DATAGRAMS = 600.0
-# The same for news that makes a target look worse. Until it is told, the others send
-# orders there that are lost.
-URGENT_DATAGRAMS = 2400.0
-# Seconds of the allowance that a quiet host may save up, and that a host with urgent
-# news may overdraw.
-SAVED_FOR = 0.25
-OVERDRAWN_FOR = 0.5
-
-
-class Allowance:
+# The share of the link's capacity that updates may use.
+LINK_SHARE = 0.15
+# Datagrams per second for load updates. Each costs processor time at both ends.
+MAX_DATAGRAM_RATE = 600.0
+# The same for urgent updates. Until one arrives, other hosts send to a failing target.
+MAX_URGENT_DATAGRAM_RATE = 2400.0
+# Seconds' worth of tokens that an idle host may save, and that urgent updates may
+# overdraw.
+BURST_SECONDS = 0.25
+OVERDRAFT_SECONDS = 0.5
+
+
+class OverdraftBucket:
     """
-    A token bucket for bytes or datagrams, which may be overdrawn.
+    A token bucket for bytes or datagrams that may be overdrawn.
 
     Args:
-      rate: How many a second, or None for no bound.
+      rate: Tokens per second, or None for no limit.
     """
 
     def __init__(self, rate):
         self._rate = rate
-        self._saved = 0.0 if rate is None else rate * SAVED_FOR
-        self._at = None
+        self._tokens = 0.0 if rate is None else rate * BURST_SECONDS
+        self._updated_at = None
 
     def spend(self, size, now):
-        """Count what goes out now, in seconds of any clock that never goes back."""
+        """Take tokens for what is sent at a time, in seconds of a monotonic clock."""
         self._refill(now)
-        self._saved -= size
+        self._tokens -= size
 
     def wait(self, is_urgent, now):
-        """Return the seconds until the next message may go out, 0.0 for at once."""
+        """Return the seconds until the next message may be sent."""
         if self._rate is None:
             return 0.0
         self._refill(now)
-        floor = -self._rate * OVERDRAWN_FOR if is_urgent else 0.0
-        return max(0.0, (floor - self._saved) / self._rate)
+        minimum = -self._rate * OVERDRAFT_SECONDS if is_urgent else 0.0
+        return max(0.0, (minimum - self._tokens) / self._rate)
 
     def _refill(self, now):
         if self._rate is None:
             return
-        if self._at is not None:
-            gained = max(0.0, now - self._at) * self._rate
-            self._saved = min(self._rate * SAVED_FOR, self._saved + gained)
-        self._at = now
+        if self._updated_at is not None:
+            added = max(0.0, now - self._updated_at) * self._rate
+            self._tokens = min(self._rate * BURST_SECONDS, self._tokens + added)
+        self._updated_at = now
 
 
 class SendPacer:
     """
-    All that bounds what a host tells: bytes, datagrams, and datagrams of urgent news.
+    The limits of the updates that a host sends: bytes, datagrams and urgent datagrams.
 
     Args:
-      link: What the host's link carries, in bytes a second, or None if unknown.
-      is_bounded: Whether there is a bound at all.
+      link: The capacity of the host's link in bytes per second, or None if unknown.
+      is_limited: Whether there are any limits.
     """
 
-    def __init__(self, link, is_bounded=True):
-        self._bytes = Allowance(told_rate(link) if is_bounded else None)
-        self._calm = Allowance(TOLD_DATAGRAMS if is_bounded else None)
-        self._urgent = Allowance(URGENT_DATAGRAMS if is_bounded else None)
+    def __init__(self, link, is_limited=True):
+        self._bytes = OverdraftBucket(max_byte_rate(link) if is_limited else None)
+        self._deferrable = OverdraftBucket(MAX_DATAGRAM_RATE if is_limited else None)
+        self._urgent = OverdraftBucket(MAX_URGENT_DATAGRAM_RATE if is_limited else None)
 
     def spend(self, datagrams, size, now):
-        """Count datagrams that go out now, and their bytes together."""
+        """Count datagrams that are sent now, and the sum of their sizes."""
         self._bytes.spend(size, now)
-        self._calm.spend(datagrams, now)
+        self._deferrable.spend(datagrams, now)
         self._urgent.spend(datagrams, now)
 
     def wait(self, is_urgent, now):
-        """Return the seconds until the next message may go out, 0.0 for at once."""
-        datagrams = self._urgent if is_urgent else self._calm
+        """Return the seconds until the next message may be sent."""
+        datagrams = self._urgent if is_urgent else self._deferrable
         return max(self._bytes.wait(is_urgent, now), datagrams.wait(False, now))
 
     def has_bandwidth(self, now):
-        """Return whether the link has room for more."""
+        """Return whether bytes may be sent without overdrawing."""
         return self._bytes.wait(False, now) <= 0.0
 
 
-def told_rate(link):
-    """Return the bytes a second that a host may tell over its link's bytes a second."""
-    return None if link is None else link * TOLD_SHARE
+def max_byte_rate(link):
+    """Return the bytes per second allowed for updates on a link of a capacity."""
+    return None if link is None else link * LINK_SHARE
