--- a/packages/plumsaddle-core/plumsaddle_core/ops/centre_retry_budget.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/centre_retry_budget.py
@@ -1,64 +1,65 @@
 """
 A data centre's share of the retries that all hosts together may send.
 
-An installation bounds the retries of a service in any window: a ratio of the requests
-for it and a fixed extra. The hosts of a data centre tell each other their requests and
-retries and spend what belongs to all of them; the extra is split equally among the
-data centres. A host that hears only some of its neighbours takes only their part of
-it. When a service fails as a whole, each request wants a second try, and this bound is
-what keeps the load from doubling.
-
-Pooled, the share of a host that sees few requests is not lost: with a request a second
-at each of twelve hosts, the whole parts of twelve separate shares are a third smaller.
+An installation limits the retries of a service in any window to a ratio of its requests
+plus a fixed extra. This keeps retries from doubling the load when a service fails as a
+whole. The hosts of a data centre exchange their counts of requests and retries and
+share one budget. The extra is split equally among data centres, and a host that hears
+only some of its peers uses only their part of it.
+
+A shared budget does not waste the fractions that separate budgets of hosts with few
+requests would round off.
 """
 
 from collections import deque
 
-# Part of the allowance that is spent. Windows slide, the platform counts arrivals at
-# targets a little later than hosts count their sends, and hosts spend at one moment
-# without knowing of each other.
+# The share of the limit that is used. Arrivals at targets are counted a little later
+# than sends, and hosts send retries without knowing of each other's latest ones.
 SAFETY_FACTOR = 0.8
 
 
 class CentreRetryBudget:
     """
-    The requests and retries of one service in a data centre in the last window.
+    The requests and retries of one service in a data centre in a sliding window.
 
     Args:
-      ratio: Retries allowed for one request.
-      window: The window's length, in seconds.
+      ratio: The retries allowed for each request.
+      window: The window's length in seconds.
     """
 
     def __init__(self, ratio, window):
         self.ratio = ratio
         self.window = window
-        self._requests = _Counted()
-        self._retries = _Counted()
+        self._requests = _SlidingSum()
+        self._retries = _SlidingSum()
 
     def note_requests(self, count, now):
-        """Count requests that came in for the service."""
+        """Count incoming requests for the service."""
         self._requests.add(count, now)
 
     def note_retries(self, count, now):
-        """Count retries that went out."""
+        """Count retries that were sent."""
         self._retries.add(count, now)
 
-    def may_retry(self, extra, now, part=1.0):
+    def may_retry(self, extra, now, usable_share=1.0):
         """
-        Return whether a retry may go out.
+        Return whether a retry may be sent.
 
         Args:
           extra: The data centre's part of the fixed extra.
-          now: The present, in seconds.
-          part: The part of the share that may be used up; the rest is left to others.
+          now: The current time in seconds.
+          usable_share: The share of the budget that the request may use up.
         """
         requests = self._requests.total(now - self.window)
         retries = self._retries.total(now - self.window)
-        return retries + 1 <= (self.ratio * requests + extra) * SAFETY_FACTOR * part
+        return (
+            retries + 1
+            <= (self.ratio * requests + extra) * SAFETY_FACTOR * usable_share
+        )
 
 
-class _Counted:
-    """Counts with their times, and their sum."""
+class _SlidingSum:
+    """The sum of the counts in a sliding window."""
 
     def __init__(self):
         self._entries = deque()
