--- a/packages/plumsaddle-core/plumsaddle_core/ops/host_retry_budget.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/host_retry_budget.py
@@ -1,15 +1,13 @@
 """
-How many retries a service may be given.
+The retry budget of one host for a service.
 
-Retries are a share of the requests that came lately, counted for the service and
-not for a request: when a service is in trouble, every request would like a second
-try, and together they would double the load that the service cannot carry. Each
-host spends a share of its own requests, so the fleet's retries stay below the same
-share of the fleet's requests.
+Retries are limited to a share of the service's recent requests, since retrying every
+request of a failing service would double its load. Each host spends a share of its own
+requests, so the fleet's retries stay below the same share of the fleet's requests.
 """
 
-SMALLEST = 3.0
-MOST = 100.0
+INITIAL_TOKENS = 3.0
+MAX_TOKENS = 100.0
 
 
 class HostRetryBudget:
@@ -17,23 +15,23 @@
     A token bucket that requests fill and retries empty.
 
     Args:
-      ratio: The retries that one request allows for.
+      ratio: The tokens that each request adds.
     """
 
     def __init__(self, ratio):
         self.ratio = ratio
-        self.tokens = SMALLEST
+        self.tokens = INITIAL_TOKENS
 
     def note_request(self):
-        """Count a request that came in."""
-        self.tokens = min(MOST, self.tokens + self.ratio)
+        """Add the tokens of an incoming request."""
+        self.tokens = min(MAX_TOKENS, self.tokens + self.ratio)
 
     def has_retry(self):
-        """Return whether a retry could go out now."""
+        """Return whether a retry may be sent now."""
         return self.tokens >= 1.0
 
     def spend(self):
-        """Return whether a retry may go out, and count it if so."""
+        """Return whether a retry may be sent, and take its token if so."""
         if not self.has_retry():
             return False
         self.tokens -= 1.0
