--- a/packages/plumsaddle-core/plumsaddle_core/ops/deadline_queue.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/deadline_queue.py
@@ -1,8 +1,8 @@
 """
-Requests that wait for a target, ordered by deadline.
+A bounded queue of requests that wait for a target, ordered by deadline.
 
-A waiting request holds no slot. The queue is bounded, and whoever finds it full is
-refused at once; one whose deadline has passed is dropped before it costs anything.
+Waiting requests hold no slot. A request that finds the queue full is refused at once,
+and one whose deadline has passed is dropped.
 """
 
 import heapq
@@ -11,10 +11,10 @@
 
 
 class Waiter(NamedTuple):
-    """A waiting request; the count keeps the order of equal deadlines."""
+    """A waiting request; `sequence` keeps the order of equal deadlines."""
 
     deadline: float
-    count: int
+    sequence: int
     ticket: Any
 
 
@@ -23,31 +23,31 @@
     The queue of one service on one host.
 
     Args:
-      bound: The most requests that may wait.
+      capacity: The maximum number of waiting requests.
     """
 
-    def __init__(self, bound):
-        self.capacity = bound
-        self._count = itertools.count()
+    def __init__(self, capacity):
+        self.capacity = capacity
+        self._sequence = itertools.count()
         self._waiters = []
 
     def __len__(self):
         return len(self._waiters)
 
     def push(self, deadline, ticket):
-        """Let a request wait, and return whether there was room."""
+        """Add a request, and return whether there was room."""
         if len(self._waiters) >= self.capacity:
             return False
-        heapq.heappush(self._waiters, Waiter(deadline, next(self._count), ticket))
+        heapq.heappush(self._waiters, Waiter(deadline, next(self._sequence), ticket))
         return True
 
-    def serve(self, now, give):
+    def serve(self, now, try_serve):
         """
-        Go through the waiting requests in order of their deadlines.
+        Try to serve the waiting requests in order of their deadlines.
 
         Args:
-          now: The present, in seconds.
-          give: A function that takes a ticket and returns whether it was served.
+          now: The current time in seconds.
+          try_serve: A function that takes a ticket and returns whether it was served.
         Returns:
           The tickets whose deadlines have passed.
         """
@@ -57,12 +57,12 @@
             waiter = heapq.heappop(self._waiters)
             if waiter.deadline <= now:
                 late.append(waiter.ticket)
-            elif not give(waiter.ticket):
+            elif not try_serve(waiter.ticket):
                 kept.append(waiter)
         self._waiters = kept
         return late
 
     def remove(self, ticket):
-        """Take out a request whose caller has gone."""
+        """Remove a request whose caller has disconnected."""
         self._waiters = [w for w in self._waiters if w.ticket is not ticket]
         heapq.heapify(self._waiters)
