--- a/packages/plumsaddle-core/plumsaddle_core/ops/routing.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/routing.py
@@ -1,9 +1,9 @@
 """
-Which route a request belongs to.
+Lookup of the route that a request belongs to.
 
-The longest prefix that ends at a path's slash wins; among routes of one prefix the
-method decides. The table is built once for each version, and a look-up walks up the
-path's own segments, so its cost depends on the path and not on the routes.
+The longest prefix that ends at a slash of the path wins, and among routes of the same
+prefix the method decides. The table is built once per configuration version. A lookup
+walks up the path's segments, so its cost does not depend on the number of routes.
 """
 
 from returns.result import Failure, Success
@@ -12,7 +12,7 @@
 
 
 def build_routes(cfg):
-    """Return the table of a configuration: prefix to method to `Route`."""
+    """Return the routes of a configuration by prefix and method."""
     table = {}
     for route in cfg.route:
         prefix = route.prefix.rstrip("/") or "/"
@@ -29,7 +29,7 @@
     Args:
       table: What `build_routes` returned.
       method: The request's method.
-      path: The path, without the query.
+      path: The path without the query string.
     Returns:
       A `Success` of a `Route`, or a `Failure` of a `Refusal`.
     """
