--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -31,7 +31,6 @@
     FailureEstimator,
     rare_outcome_likelihood_ratio,
 )
-from .centre_retry_budget import CentreRetryBudget
 from .floor import RecentResults
 from .peer_updates import (
     Counts,
@@ -43,6 +42,7 @@
     tag_of,
 )
 from .remote_load import Elsewhere
+from .share import CentreRetryBudget
 from .suspects import SuspectRequests
 from .times import RouteTimes
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
@@ -5,9 +5,9 @@
 import random
 
 from ..core.traffic import RequestKind, Target, TargetState
-from .centre_retry_budget import SAFETY_FACTOR, CentreRetryBudget
 from .choice import Candidate, RequestProfile, choose_target
 from .peer_updates import Counts, HealthSignal, OutcomeRecord, PeerUpdate, tag_of
+from .share import SAFETY_FACTOR, CentreRetryBudget
 from .shared_state import SILENT_AFTER, SharedState
 from .times import DEFAULT_DURATION
 
