--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -14,9 +14,9 @@
     HealthState,
     RequestKind,
 )
+from plumsaddle_core.ops.budget import HostRetryBudget
 from plumsaddle_core.ops.ejection import note_trial, review, suspects_itself
 from plumsaddle_core.ops.evidence import Evidence
-from plumsaddle_core.ops.host_retry_budget import HostRetryBudget
 from plumsaddle_core.ops.latency import Latency
 from plumsaddle_core.ops.pool import CONTENDED_FOR, Pool
 from plumsaddle_core.ops.signs import sign_of_age, sign_of_end
