--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/waiting.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/waiting.py
@@ -12,8 +12,8 @@
 
 from plumsaddle_core.core.data import HealthState, RequestKind
 from plumsaddle_core.core.reasons import Reason, refuse
-from plumsaddle_core.ops.deadline_queue import Queue
 from plumsaddle_core.ops.pool import SHED_PAUSE
+from plumsaddle_core.ops.queue import Queue
 
 
 class Ticket(NamedTuple):
