--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -312,7 +312,7 @@
                 state.remote.add(requested, admitted, now)
                 self._note_admitted(row[0], state, admitted, now)
 
-    def note_hub(self, now):
+    def note_any_message(self, now):
         """Note that a message was received, even if only the hub's heartbeat."""
         self._liveness.note_hub(now)
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
@@ -256,7 +256,7 @@
             _gossip(host, f"host-{number}", [second if host is first else first], now)
         first.tick(now)
     for elapsed in range(int(EVICTION_TIMEOUT) + 3):
-        first.note_hub(now + elapsed)
+        first.note_any_message(now + elapsed)
         first.tick(now + elapsed)
     decision = [first.acquire(ONE, now + elapsed) for _ in range(100)][-1]
     assert (decision.reachable_share, decision.unreachable_hosts) == (1.0, 0)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -160,7 +160,7 @@
         """Take what a hub tells, and pass it on to hosts that tell this one."""
         self._peer_table.note_heard(address, at)
         self._peer_table.note_hub_heard(address, at)
-        self._shared.quotas.note_hub(at)
+        self._shared.quotas.note_any_message(at)
         works = [
             raw
             for raw, work in _decode_each(bundle.works, decode_work, address)
--- a/packages/plumsaddle-standins/plumsaddle_standins/quota_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/quota_model.py
@@ -387,7 +387,7 @@
         hub = next((n for n in every if self._is_up[n] and n not in self._cut), None)
         for taker in every:
             if hub is not None and not self._is_lost(hub, taker):
-                self.hosts[taker].quotas.note_hub(self.at)
+                self.hosts[taker].quotas.note_any_message(self.at)
 
     def _take_far(self, taker, centre, hosts, rows):
         if self._is_up[taker]:
