--- a/packages/plumsaddle-core/plumsaddle_core/limits/liveness.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/liveness.py
@@ -122,10 +122,10 @@
         else:
             source.note_message(now)
         source.hosts = hosts
-        self.note_hub(now)
+        self.note_any_message(now)
         return source
 
-    def note_hub(self, now):
+    def note_any_message(self, now):
         """Note any message, even if only the hub's heartbeat."""
         self._last_message_at = now
         if self.is_isolated:
--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -314,7 +314,7 @@
 
     def note_any_message(self, now):
         """Note that a message was received, even if only the hub's heartbeat."""
-        self._liveness.note_hub(now)
+        self._liveness.note_any_message(now)
 
     def tick(self, now):
         """Update liveness and samples and evict idle workspaces, once a second."""
