--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -252,7 +252,7 @@
     def _take_hello(self, hello, address, at):
         """Answer a host that looks for others of its data centre."""
         strangers = self._others.strangers.some(at)
-        if hello.data_centre == self._settings.data_centre:
+        if hello.centre == self._settings.data_centre:
             known = self._peer_table.addresses()
             self._peer_table.add_candidate(address, at)
         else:
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -257,7 +257,7 @@
         id=TargetId(f"{centre}-{number}"),
         service=SERVICE,
         address="",
-        centre=str(centre),
+        data_centre=str(centre),
         slots=slots,
         state=TargetState.READY,
         warmup=0.0,
