--- a/packages/plumsaddle-core/plumsaddle_core/ops/claims.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/claims.py
@@ -135,14 +135,14 @@
                 self._forget_finished(event.claim_id)
         return decisions, releases
 
-    def _forget_finished(self, claim):
+    def _forget_finished(self, claim_id):
         """
         Drop a claim of this host once its outcome is in the log.
 
         Until then a repeated key must be answered with "running" and not "unknown".
         """
-        if self._states.get(claim) is LocalState.FINISHED:
-            self._forget(claim)
+        if self._states.get(claim_id) is LocalState.FINISHED:
+            self._forget(claim_id)
 
     def _decide(self, event, decisions, releases):
         """Decide a claim of this host by the state of its key."""
@@ -162,7 +162,7 @@
         elif state is None and is_holder:
             releases.append(Released(event.key, event.key_time, event.claim_id))
 
-    def start_sending(self, claim):
+    def start_sending(self, claim_id):
         """
         Return whether a claim may be sent; if so, it can no longer be given up.
 
@@ -170,62 +170,62 @@
         the claim up by a timer. Whichever of the two comes first excludes the other.
 
         Args:
-          claim: A claim's id.
+          claim_id: The claim's id.
         Returns:
           Whether the order may be sent.
         """
-        if self._states.get(claim) is not LocalState.WON:
+        if self._states.get(claim_id) is not LocalState.WON:
             return False
-        self._states[claim] = LocalState.SENDING
+        self._states[claim_id] = LocalState.SENDING
         return True
 
-    def give_up(self, claim):
+    def give_up(self, claim_id):
         """
         Give up a claim that was not sent.
 
         Args:
-          claim: A claim's id.
+          claim_id: The claim's id.
         Returns:
           The events to append: a release if the claim is in the log already. If it
           appears there later, `feed` releases it.
         """
-        state = self._states.get(claim)
+        state = self._states.get(claim_id)
         assert state is not LocalState.SENDING, (
             "a claim was given up after its order was sent"
         )
-        claimed = self._forget(claim)
+        claim = self._forget(claim_id)
         if state is LocalState.WON:
-            return [Released(claimed.key, claimed.key_time, claimed.claim_id)]
+            return [Released(claim.key, claim.key_time, claim.claim_id)]
         return []
 
-    def finish(self, claim, status, content_type, body):
+    def finish(self, claim_id, status, content_type, body):
         """Return the events to append for an answer of the target."""
-        claimed = self._finish(claim)
-        return [Done(claimed.key, claim, status, content_type, body)]
+        claim = self._finish(claim_id)
+        return [Done(claim.key, claim_id, status, content_type, body)]
 
-    def finish_unsent(self, claim):
+    def finish_unsent(self, claim_id):
         """Return the events to append for an order of which no byte was sent."""
-        claimed = self._finish(claim)
-        return [Released(claimed.key, claimed.key_time, claim)]
+        claim = self._finish(claim_id)
+        return [Released(claim.key, claim.key_time, claim_id)]
 
-    def finish_unknown(self, claim, detail):
+    def finish_unknown(self, claim_id, detail):
         """Return the events to append for an order whose answer was lost."""
-        claimed = self._finish(claim)
-        return [Unknown(claimed.key, claim, detail)]
+        claim = self._finish(claim_id)
+        return [Unknown(claim.key, claim_id, detail)]
 
-    def _finish(self, claim):
-        self._states[claim] = LocalState.FINISHED
-        return self._claims[claim]
+    def _finish(self, claim_id):
+        self._states[claim_id] = LocalState.FINISHED
+        return self._claims[claim_id]
 
-    def _forget(self, claim):
-        self._states.pop(claim, None)
-        return self._claims.pop(claim, None)
+    def _forget(self, claim_id):
+        self._states.pop(claim_id, None)
+        return self._claims.pop(claim_id, None)
 
     def open_claims(self):
         """Return the ids of this host's claims without an outcome."""
         return [
-            claim
-            for claim, state in self._states.items()
+            claim_id
+            for claim_id, state in self._states.items()
             if state is not LocalState.FINISHED
         ]
 
