--- a/packages/plumsaddle-core/plumsaddle_core/ops/attempt.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/attempt.py
@@ -70,7 +70,7 @@
         self._outstanding += 1
         self.stage = Stage.SENT
 
-    def note_fate(self, fate):
+    def note_outcome(self, fate):
         """
         Record the outcome of one send.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/attempt_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/attempt_test.py
@@ -60,7 +60,7 @@
         target = data.draw(st.sampled_from(self.open))
         self.open.remove(target)
         self.history.append(fate)
-        self.attempt.note_fate(fate)
+        self.attempt.note_outcome(fate)
 
     @precondition(lambda self: self.open)
     @rule()
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -422,7 +422,7 @@
                 self._attempt.undo_send(target.id)
                 self._knowledge.limits.release(target)
             else:
-                self._attempt.note_fate(fate)
+                self._attempt.note_outcome(fate)
             if fate is SendOutcome.ABANDONED and seconds > _slow_after(
                 HEDGE_FACTOR, choice
             ):
