--- a/packages/plumsaddle-core/plumsaddle_core/ops/attempt.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/attempt.py
@@ -70,20 +70,20 @@
         self._outstanding += 1
         self.stage = Stage.SENT
 
-    def note_outcome(self, fate):
+    def note_outcome(self, outcome):
         """
         Record the outcome of one send.
 
         Args:
-          fate: The `SendOutcome`; `SUCCEEDED` ends the request.
+          outcome: The `SendOutcome`; `SUCCEEDED` ends the request.
         """
         assert self._outstanding, "outcome recorded without an outstanding send"
         self._outstanding -= 1
-        if fate not in NOT_RUN:
+        if outcome not in NOT_RUN:
             self.may_have_run = True
         if self.stage is Stage.ANSWERED:
             return
-        if fate is SendOutcome.SUCCEEDED:
+        if outcome is SendOutcome.SUCCEEDED:
             self.stage = Stage.ANSWERED
         elif not self._outstanding:
             self.stage = Stage.UNCERTAIN if self.may_have_run else Stage.REFUSED
--- a/packages/plumsaddle-core/plumsaddle_core/ops/attempt_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/attempt_test.py
@@ -37,7 +37,7 @@
         super().__init__()
         self.kind = RequestKind.ORDER
         self.attempt = Attempt(self.kind, 3)
-        self.open = []
+        self.outstanding = []
         self.history = []
         self.sent = 0
 
@@ -52,20 +52,20 @@
     def send(self):
         self.sent += 1
         self.attempt.note_send(f"t{self.sent}")
-        self.open.append(f"t{self.sent}")
+        self.outstanding.append(f"t{self.sent}")
 
-    @precondition(lambda self: self.open)
-    @rule(fate=st.sampled_from(OUTCOMES), data=st.data())
-    def end(self, fate, data):
-        target = data.draw(st.sampled_from(self.open))
-        self.open.remove(target)
-        self.history.append(fate)
-        self.attempt.note_outcome(fate)
+    @precondition(lambda self: self.outstanding)
+    @rule(outcome=st.sampled_from(OUTCOMES), data=st.data())
+    def end(self, outcome, data):
+        target = data.draw(st.sampled_from(self.outstanding))
+        self.outstanding.remove(target)
+        self.history.append(outcome)
+        self.attempt.note_outcome(outcome)
 
-    @precondition(lambda self: self.open)
+    @precondition(lambda self: self.outstanding)
     @rule()
-    def take_back(self):
-        self.attempt.undo_send(self.open.pop())
+    def undo_send(self):
+        self.attempt.undo_send(self.outstanding.pop())
 
     @rule()
     def wait(self):
@@ -73,7 +73,9 @@
 
     def _may_have_run(self):
         refused = {SendOutcome.NOT_RUN, SendOutcome.WRONG_TARGET}
-        return bool(self.open) or any(fate not in refused for fate in self.history)
+        return bool(self.outstanding) or any(
+            outcome not in refused for outcome in self.history
+        )
 
     @invariant()
     def known_not_run_is_true(self):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
@@ -63,17 +63,17 @@
     """The trials that a host's requests for one service allow for."""
 
     def __init__(self):
-        self._left = MAX_SAVED_TRIALS
+        self._tokens = MAX_SAVED_TRIALS
 
     def note_request(self):
-        self._left = min(MAX_SAVED_TRIALS, self._left + TRIALS_PER_REQUEST)
+        self._tokens = min(MAX_SAVED_TRIALS, self._tokens + TRIALS_PER_REQUEST)
 
     def has_trial(self):
-        return self._left >= 1.0
+        return self._tokens >= 1.0
 
     def spend(self):
         """Count a trial; while the service is degraded there may be none left."""
-        self._left = max(0.0, self._left - 1.0)
+        self._tokens = max(0.0, self._tokens - 1.0)
 
 
 class Trials:
--- a/packages/plumsaddle-core/plumsaddle_core/ops/pacing_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/pacing_test.py
@@ -16,7 +16,7 @@
     max_byte_rate,
 )
 
-# A link of 10 Mbit/s, in bytes a second.
+# A link of 10 Mbit/s, in bytes per second.
 LINK = 1_250_000.0
 # Sizes of an update with headers: with few entries, and with eight outcomes.
 MESSAGE = 230
@@ -58,10 +58,10 @@
 
 
 @pytest.mark.parametrize(
-    ("others", "events", "usual_wait"), [(13, 7.4, 0.03), (44, 20, 0.25)]
+    ("others", "events", "max_median_wait"), [(13, 7.4, 0.03), (44, 20, 0.25)]
 )
 def test_small_data_centres_send_at_once_and_large_ones_batch(
-    others, events, usual_wait
+    others, events, max_median_wait
 ):
     """Hosts of large data centres would spend more on updates than on requests."""
     rng = random.Random(1)
@@ -77,7 +77,7 @@
             sent += others
             due = None
     assert sent <= MAX_DATAGRAM_RATE * (DURATION + BURST_SECONDS) + others
-    assert sorted(waits)[len(waits) // 2] <= usual_wait
+    assert sorted(waits)[len(waits) // 2] <= max_median_wait
     # No update waits longer than the tokens of one update to all hosts take to refill.
     assert max(waits) <= others / MAX_DATAGRAM_RATE + 0.001
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
@@ -88,12 +88,12 @@
 
     def __init__(self):
         self._count = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def note(self, now):
         """Record one event, and return the rate per second."""
         self._count = (
-            self._count * math.exp((self._at - now) / RATE_TIME_CONSTANT) + 1.0
+            self._count * math.exp((self._updated_at - now) / RATE_TIME_CONSTANT) + 1.0
         )
-        self._at = now
+        self._updated_at = now
         return self._count / RATE_TIME_CONSTANT
