--- a/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
@@ -16,7 +16,7 @@
 
 from ..core.traffic import RequestKind, Target
 
-# Scores, penalties, bonuses and costs are relative to a complete answer in time, worth 1.
+# Penalties, bonuses and costs are relative to a complete answer in time, worth 1.
 # Score lost by a target with all slots taken. It must outweigh the difference between a
 # target that just succeeded and an unknown one (about 0.08), so that both get requests.
 UTILIZATION_PENALTY = 0.2
