--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -22,7 +22,7 @@
     return Target("t", service, "10.0.0.1:80", "x", 2, state, 0.0, 0.0, born)
 
 
-def _news(number, in_flight=None, outcomes=(), host="peer"):
+def _update(number, in_flight=None, outcomes=(), host="peer"):
     notes = tuple(
         OutcomeRecord(n, t, "look", "r", sign, 0.3) for n, t, sign in outcomes
     )
@@ -40,7 +40,7 @@
     shared = SharedState(0.2, 10.0, started=-100.0)
     former, present = _target(1000), _target(2000)
     shared.note_send_start(former.incarnation, 1.0)
-    shared.apply_update(_news(1, {former.incarnation: 2}), 1.0)
+    shared.apply_update(_update(1, {former.incarnation: 2}), 1.0)
     shared.note_outcome(former.incarnation, "look", "r", HealthSignal.FAILED, 0.0, 1.0)
     assert shared.failure_probability(former.incarnation, 1.0) > 0.5
     assert shared.failure_probability(present.incarnation, 1.0) < 0.25
@@ -60,7 +60,7 @@
     shared.evict_targets({present.incarnation}, 10.0)
     before = shared.failure_probability(present.incarnation, 2.0)
     shared.apply_update(
-        _news(
+        _update(
             1, {former.incarnation: 1}, [(0, former.incarnation, HealthSignal.FAILED)]
         ),
         2.0,
--- a/packages/plumsaddle-core/plumsaddle_core/ops/peer_updates.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/peer_updates.py
@@ -91,7 +91,7 @@
     """
 
     host: HostId
-    life: int
+    incarnation: int
     number: int
     in_flight: dict[int, int]
     outcomes: tuple[OutcomeRecord, ...]
@@ -106,7 +106,7 @@
     """
 
     host: HostId
-    life: int
+    incarnation: int
     evidence: tuple[Evidence, ...]
     used: tuple[int, ...]
 
@@ -120,7 +120,7 @@
 
     centre: DataCentre
     host: HostId
-    life: int
+    incarnation: int
     number: int
     counts: dict[int, int]
 
@@ -154,29 +154,29 @@
 
     def __init__(self):
         self.count = 0
-        self._notes = deque(maxlen=MAX_PENDING)
-        self._told_once = 0
-        self._told_twice = 0
+        self._records = deque(maxlen=MAX_PENDING)
+        self._sent_once = 0
+        self._sent_twice = 0
 
-    def add(self, note):
+    def add(self, record):
         """Keep a note, whose number must be `count`."""
-        self._notes.append(note)
+        self._records.append(record)
         self.count += 1
 
     @property
     def has_unsent(self):
         """Whether a note has not been told at all."""
-        return self._told_once < self.count
+        return self._sent_once < self.count
 
     def next_batch(self):
         """Return the notes for the next message."""
-        since = self._told_twice
-        self._told_twice, self._told_once = self._told_once, self.count
-        return tuple(note for note in self._notes if note.number >= since)
+        since = self._sent_twice
+        self._sent_twice, self._sent_once = self._sent_once, self.count
+        return tuple(record for record in self._records if record.number >= since)
 
     def recent(self):
         """Return all notes that are kept."""
-        return tuple(self._notes)
+        return tuple(self._records)
 
 
 class Inbox:
@@ -188,28 +188,28 @@
     followed by another one are remembered, and their messages are dropped.
     """
 
-    def __init__(self, life):
-        self.life = life
-        self._ended = deque(maxlen=8)
+    def __init__(self, incarnation):
+        self.incarnation = incarnation
+        self._past = deque(maxlen=8)
         self._seen = deque(maxlen=MAX_PENDING)
 
-    def is_former(self, life):
+    def is_past(self, incarnation):
         """Return whether a life has ended, so that its messages come late."""
-        return life in self._ended
+        return incarnation in self._past
 
-    def begin(self, life):
+    def reset(self, incarnation):
         """Begin a new life of the sender."""
-        self._ended.append(self.life)
-        self.life = life
+        self._past.append(self.incarnation)
+        self.incarnation = incarnation
         self._seen.clear()
 
-    def fresh(self, notes):
+    def unseen(self, records):
         """
         Return the notes that have not come before.
 
         Notes from another data centre come by way of different hosts, so a later one
         may arrive first; only the numbers themselves tell what has come.
         """
-        news = [note for note in notes if note.number not in self._seen]
-        self._seen.extend(note.number for note in news)
-        return news
+        update = [record for record in records if record.number not in self._seen]
+        self._seen.extend(record.number for record in update)
+        return update
--- a/packages/plumsaddle-core/plumsaddle_core/ops/remote_load.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/remote_load.py
@@ -15,15 +15,15 @@
 REMOTE_LOAD_TTL = 1.5
 
 
-class Elsewhere:
+class RemoteLoads:
     """The last `RemoteLoad` of each other data centre, or the last sum over them."""
 
     def __init__(self):
         self._loads = {}
-        self._sums = RemoteLoadTotal((), {})
-        self._sums_at = 0.0
+        self._total = RemoteLoadTotal((), {})
+        self._total_at = 0.0
 
-    def take(self, load, now):
+    def apply(self, load, now):
         """
         Take a data centre's sums; an older message of the same host is ignored.
 
@@ -32,15 +32,15 @@
           now: The present, in seconds.
         """
         known, _ = self._loads.get(load.centre, (None, 0.0))
-        is_same = known is not None and (known.host, known.life) == (
+        is_same = known is not None and (known.host, known.incarnation) == (
             load.host,
-            load.life,
+            load.incarnation,
         )
         if not is_same or load.number > known.number:
             self._loads[load.centre] = (load, now)
-            self.take_sums(self._sum_up(now), now)
+            self.apply_total(self._compute_total(now), now)
 
-    def _sum_up(self, now):
+    def _compute_total(self, now):
         total = Counter()
         loads = [
             load for load, at in self._loads.values() if now - at < REMOTE_LOAD_TTL
@@ -49,26 +49,26 @@
             total.update(load.counts)
         return RemoteLoadTotal(tuple(load.centre for load in loads), dict(total))
 
-    def sums(self, now):
+    def total(self, now):
         """Return the latest `RemoteLoadTotal`, empty if it is out of date."""
         return (
-            self._sums
-            if now - self._sums_at < REMOTE_LOAD_TTL
+            self._total
+            if now - self._total_at < REMOTE_LOAD_TTL
             else RemoteLoadTotal((), {})
         )
 
-    def take_sums(self, sums, now):
+    def apply_total(self, total, now):
         """Take `RemoteLoadTotal`; they replace the former ones."""
-        self._sums = sums
-        self._sums_at = now
+        self._total = total
+        self._total_at = now
 
     def is_known(self, centre, now):
         """Return whether a data centre has told its work lately."""
-        return centre in self._sums.centres and now - self._sums_at < REMOTE_LOAD_TTL
+        return centre in self._total.centres and now - self._total_at < REMOTE_LOAD_TTL
 
     def in_flight(self, tag):
         """Return the requests in flight at a target from all other data centres."""
-        return self._sums.counts.get(tag, 0)
+        return self._total.counts.get(tag, 0)
 
     def evict_silent(self, now):
         """Forget the work of data centres that have been silent."""
@@ -76,5 +76,5 @@
         self._loads = {
             c: entry for c, entry in heard if now - entry[1] < REMOTE_LOAD_TTL
         }
-        if now - self._sums_at >= REMOTE_LOAD_TTL:
-            self._sums = RemoteLoadTotal((), {})
+        if now - self._total_at >= REMOTE_LOAD_TTL:
+            self._total = RemoteLoadTotal((), {})
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
@@ -8,7 +8,7 @@
 from .choice import Candidate, RequestProfile, choose_target
 from .peer_updates import Counts, HealthSignal, OutcomeRecord, PeerUpdate, tag_of
 from .share import SAFETY_FACTOR, CentreRetryBudget
-from .shared_state import SILENT_AFTER, SharedState
+from .shared_state import PEER_TIMEOUT, SharedState
 from .times import DEFAULT_DURATION
 
 
@@ -16,12 +16,14 @@
     return SharedState(0.2, 10.0, started=-100.0)
 
 
-def _news(number, outcomes=(), in_flight=None, counts=None, life=1, host="peer"):
+def _update(
+    number, outcomes=(), in_flight=None, counts=None, incarnation=1, host="peer"
+):
     notes = tuple(
         OutcomeRecord(n, t, "look", "r", sign, 0.3) for n, t, sign in outcomes
     )
     tags = {tag_of(target): count for target, count in (in_flight or {}).items()}
-    return PeerUpdate(host, life, number, tags, notes, counts or {})
+    return PeerUpdate(host, incarnation, number, tags, notes, counts or {})
 
 
 def test_an_outcome_counts_once():
@@ -31,30 +33,30 @@
     Messages repeat the last outcomes, so that a lost one costs nothing.
     """
     shared, once = _shared(), _shared()
-    once.apply_update(_news(1, [(0, "t", HealthSignal.FAILED)]), 1.0)
+    once.apply_update(_update(1, [(0, "t", HealthSignal.FAILED)]), 1.0)
     for number in range(1, 6):
-        shared.apply_update(_news(number, [(0, "t", HealthSignal.FAILED)]), 1.0)
+        shared.apply_update(_update(number, [(0, "t", HealthSignal.FAILED)]), 1.0)
     assert shared.failure_probability("t", 1.0) == once.failure_probability("t", 1.0)
 
 
 def test_a_late_message_changes_nothing():
     shared = _shared()
-    shared.apply_update(_news(5, in_flight={"t": 3}), 1.0)
-    shared.apply_update(_news(4, in_flight={"t": 1}), 1.1)
+    shared.apply_update(_update(5, in_flight={"t": 3}), 1.0)
+    shared.apply_update(_update(4, in_flight={"t": 1}), 1.1)
     assert shared.in_flight("t") == 3
 
 
 def test_a_restarted_host_begins_anew():
     shared = _shared()
-    shared.apply_update(_news(500, in_flight={"t": 3}, life=1), 1.0)
-    shared.apply_update(_news(1, in_flight={"t": 1}, life=2), 2.0)
+    shared.apply_update(_update(500, in_flight={"t": 3}, incarnation=1), 1.0)
+    shared.apply_update(_update(1, in_flight={"t": 1}, incarnation=2), 2.0)
     assert shared.in_flight("t") == 1
 
 
 def test_the_work_of_a_silent_host_is_forgotten():
     shared = _shared()
-    shared.apply_update(_news(1, in_flight={"t": 4}), 1.0)
-    assert shared.evict_silent(1.1 + SILENT_AFTER) == ["peer"]
+    shared.apply_update(_update(1, in_flight={"t": 4}), 1.0)
+    assert shared.evict_silent(1.1 + PEER_TIMEOUT) == ["peer"]
     assert shared.in_flight("t") == 0
 
 
@@ -170,8 +172,8 @@
         counts[index] = shared.own_counts()["look"]
         for other, peer in enumerate(shared_states):
             if other != index:
-                news = _news(step, counts={"look": counts[index]}, host=str(index))
-                peer.apply_update(news, at)
+                update = _update(step, counts={"look": counts[index]}, host=str(index))
+                peer.apply_update(update, at)
     assert retries <= 0.2 * requests + 20
     assert retries > 0.6 * SAFETY_FACTOR * (0.2 * requests + 20)
 
@@ -194,9 +196,9 @@
 def test_a_host_that_hears_few_takes_little():
     shared = _shared()
     for number in range(11):
-        shared.apply_update(_news(1, host=f"h{number}"), 1.0)
+        shared.apply_update(_update(1, host=f"h{number}"), 1.0)
     assert shared.may_retry("look", 12.0, 1.0)
-    shared.evict_silent(1.0 + 2 * SILENT_AFTER)
+    shared.evict_silent(1.0 + 2 * PEER_TIMEOUT)
     assert not shared.may_retry("look", 12.0, 1.0)
 
 
@@ -244,15 +246,15 @@
     """
     shared = _shared()
     for number in range(11):
-        shared.apply_update(_news(1, host=f"h{number}"), 1.0)
+        shared.apply_update(_update(1, host=f"h{number}"), 1.0)
     assert not shared.is_degraded("look", 1.1)
     for number in range(5):
-        shared.apply_update(_news(1, host=f"h{number}", life=2), 2.0)
+        shared.apply_update(_update(1, host=f"h{number}", incarnation=2), 2.0)
     assert shared.is_degraded("look", 2.0)
     for number in range(11):
-        shared.apply_update(_news(9, host=f"h{number}", life=2), 8.0)
+        shared.apply_update(_update(9, host=f"h{number}", incarnation=2), 8.0)
     for number in range(11):
-        shared.apply_update(_news(10, host=f"h{number}", life=2), 14.0)
+        shared.apply_update(_update(10, host=f"h{number}", incarnation=2), 14.0)
     assert not shared.is_degraded("look", 14.1)
     assert shared.is_degraded("look", 17.0)
 
@@ -271,7 +273,7 @@
         is_cut = number % 5 == 0
         sign = HealthSignal.UNREACHABLE if is_cut else HealthSignal.SUCCEEDED
         other.apply_update(
-            _news(number, [(number, "t", sign)], host=f"h{number % 5}"), at
+            _update(number, [(number, "t", sign)], host=f"h{number % 5}"), at
         )
     assert cut.failure_probability("t", 1.2) > 0.7
     assert cut.is_path_broken("t", 1.2)
@@ -282,8 +284,8 @@
 def test_a_dead_target_is_known_after_three_silences_of_any_hosts():
     shared = _shared()
     for number in range(3):
-        news = _news(1, [(0, "t", HealthSignal.UNREACHABLE)], host=f"h{number}")
-        shared.apply_update(news, 1.0)
+        update = _update(1, [(0, "t", HealthSignal.UNREACHABLE)], host=f"h{number}")
+        shared.apply_update(update, 1.0)
     assert shared.failure_probability("t", 1.0) > 0.6
 
 
