--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -15,7 +15,7 @@
     tag_of,
 )
 from .registry import Registry
-from .shared_state import SharedState
+from .zone import SharedState
 
 
 def _target(born, state=TargetState.READY, service="look"):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -17,8 +17,8 @@
 )
 from plumsaddle_core.ops.peer_updates import HealthSignal, tag_of
 from plumsaddle_core.ops.remote_load import REMOTE_LOAD_TTL
-from plumsaddle_core.ops.shared_state import SharedState
 from plumsaddle_core.ops.suspects import RunRecord
+from plumsaddle_core.ops.zone import SharedState
 
 from ..platform.store import KeyedRecord, Page
 from . import peers as module
