--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -422,7 +422,7 @@
     net.deliver()
     for _, other, _ in left:
         assert other.failure_probability("t", net.at) > 0.6
-        assert not other._lost_hosts(net.at)
+        assert not other._has_lost_hosts(net.at)
 
 
 def test_a_hub_that_wakes_from_a_freeze_takes_its_part_again(net):
