--- a/packages/plumsaddle-core/plumsaddle_core/limits/liveness.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/liveness.py
@@ -100,14 +100,14 @@
         """Note a message of a host of this data centre, and return its `Source`."""
         return self._note_message(self._local, host, incarnation, HostCount(1), now)
 
-    def note_centre(self, centre, hosts, now):
+    def note_data_centre(self, data_centre, hosts, now):
         """Note a report for another data centre, and return its `Source`."""
-        source = self._remote.get(centre)
+        source = self._remote.get(data_centre)
         previous = source.hosts.unreachable if source is not None else 0
         if previous != hosts.unreachable:
             self._remote_unreachable += hosts.unreachable - previous
             self.revision += 1
-        return self._note_message(self._remote, centre, 0, hosts, now)
+        return self._note_message(self._remote, data_centre, 0, hosts, now)
 
     def _note_message(self, sources, name, incarnation, hosts, now):
         source = sources.get(name)
--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -292,17 +292,17 @@
                 requested, admitted = _merge_row(state, source, row, now)
                 self._count_local(row[0], state, requested, admitted, now)
 
-    def merge_remote(self, centre, hosts, rows, now):
+    def merge_remote(self, data_centre, hosts, rows, now):
         """
         Merge a report for another data centre; two hosts may report for it at once.
 
         Args:
-          centre: The `DataCentre`.
+          data_centre: The `DataCentre`.
           hosts: Its `HostCount`.
           rows: The `QuotaRow`s.
           now: The present, in seconds.
         """
-        source = self._liveness.note_centre(centre, hosts, now)
+        source = self._liveness.note_data_centre(data_centre, hosts, now)
         for row in rows:
             state = self._get_state(row[0], now)
             if state is not None:
--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
@@ -57,13 +57,13 @@
         self._rng = rng
         self._services = {}
 
-    def admissible(self, targets, centre, max_wait, revision, now):
+    def admissible(self, targets, data_centre, max_wait, revision, now):
         """
         Return the targets to which a request may be sent within `max_wait`.
 
         Args:
           targets: The usable `Target`s of one service.
-          centre: The host's data centre.
+          data_centre: The host's data centre.
           max_wait: The maximum seconds that the request may wait for a token.
           revision: The revision of the list of targets.
           now: The present, in seconds.
@@ -75,7 +75,7 @@
             advertised.rate(target.incarnation) is not None for target in targets
         ):
             return targets
-        buckets = self._refresh_service(targets, centre, revision, now).buckets
+        buckets = self._refresh_service(targets, data_centre, revision, now).buckets
         return [
             target
             for target in targets
@@ -105,7 +105,7 @@
         if bucket is not None:
             bucket.release(now)
 
-    def retry_after(self, targets, centre, revision, now):
+    def retry_after(self, targets, data_centre, revision, now):
         """
         Return the seconds after which a refused caller should retry.
 
@@ -114,7 +114,7 @@
 
         Args: as for `admissible`.
         """
-        service = self._refresh_service(targets, centre, revision, now)
+        service = self._refresh_service(targets, data_centre, revision, now)
         waits = [bucket.wait(now) for bucket in service.buckets.values()]
         rate = max(service.total_rate, MIN_RATE)
         demands = self.membership.demands(targets[0].service, now)
@@ -126,7 +126,7 @@
         service = self._services.get(target.service)
         return service.buckets.get(target.incarnation) if service is not None else None
 
-    def _refresh_service(self, targets, centre, revision, now):
+    def _refresh_service(self, targets, data_centre, revision, now):
         """Return the `_ServiceLimits` of targets, with updated shares."""
         name = targets[0].service
         service = self._services.get(name)
@@ -141,7 +141,7 @@
                     t.incarnation, max(MIN_RATE, self.advertised.rate(t.incarnation))
                 )
                 for t in targets
-                if t.data_centre == centre
+                if t.data_centre == data_centre
                 and self.advertised.rate(t.incarnation) is not None
             ]
             service.total_rate = sum(target.rate for target in limited)
@@ -153,15 +153,15 @@
         return service
 
 
-def max_token_wait(demand, urgency):
+def max_token_wait(profile, urgency):
     """
     Return the maximum seconds that a request may wait for a token.
 
     Args:
-      demand: The request's `RequestProfile`.
+      profile: The request's `RequestProfile`.
       urgency: How urgent it is for its service, from 0.0 to 1.0.
     """
-    spare_time = max(0.0, demand.objective_left - demand.typical_duration)
+    spare_time = max(0.0, profile.objective_left - profile.typical_duration)
     return urgency * min(MAX_WAIT, MAX_WAIT_FRACTION * spare_time)
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
@@ -100,12 +100,12 @@
 
 def test_only_urgent_requests_with_time_left_wait():
     """Guards against waits that make requests late or delay more urgent ones."""
-    demand = RequestProfile(RequestKind.IDEMPOTENT, 0.5, 1.5, 3.0, 1.0)
-    assert max_token_wait(demand, 1.0) == 0.5
-    assert max_token_wait(demand, 0.5) == 0.25
-    assert max_token_wait(demand, 0.0) == 0.0
-    assert max_token_wait(demand._replace(objective_left=0.3), 1.0) == 0.0
-    assert max_token_wait(demand._replace(objective_left=30.0), 1.0) == MAX_WAIT
+    profile = RequestProfile(RequestKind.IDEMPOTENT, 0.5, 1.5, 3.0, 1.0)
+    assert max_token_wait(profile, 1.0) == 0.5
+    assert max_token_wait(profile, 0.5) == 0.25
+    assert max_token_wait(profile, 0.0) == 0.0
+    assert max_token_wait(profile._replace(objective_left=0.3), 1.0) == 0.0
+    assert max_token_wait(profile._replace(objective_left=30.0), 1.0) == MAX_WAIT
 
 
 def test_retries_of_refused_callers_are_spread():
