--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -99,13 +99,13 @@
 
     Args:
       tolerance: The `Tolerance`.
-      centres: The number of data centres.
+      data_centre_count: The number of data centres.
       rng: A `random.Random`.
     """
 
-    def __init__(self, tolerance=None, centres=1, rng=random):
+    def __init__(self, tolerance=None, data_centre_count=1, rng=random):
         self._tolerance = tolerance or Tolerance()
-        self._centres = max(1, centres)
+        self._data_centre_count = max(1, data_centre_count)
         self._rng = rng
         self._started_at = None
         self._limits = {}
@@ -258,7 +258,9 @@
 
     def _is_near_limit(self, state, now):
         demand = state.local.requested(now) / DECAY_TIME
-        return demand >= NEAR_LIMIT_FRACTION * state.meter.rate / self._centres
+        return (
+            demand >= NEAR_LIMIT_FRACTION * state.meter.rate / self._data_centre_count
+        )
 
     def _take_pending(self, pending):
         """Return the tags and states for the next message."""
--- a/packages/plumsaddle-standins/plumsaddle_standins/workspace_slopes.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/workspace_slopes.py
@@ -51,7 +51,7 @@
     """
     workspaces = make_workspaces(count)
     index, _ = index_keys(workspaces)
-    quotas = Quotas(centres=3)
+    quotas = Quotas(data_centre_count=3)
     quotas.configure(workspaces, 0.0)
     rng = random.Random(1)
     asked = [rng.randrange(count) for _ in range(REQUESTS)]
