--- a/packages/plumsaddle-core/plumsaddle_core/ops/__init__.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions: plain functions and small state over the shared data."""
+"""The decision logic of a host, without I/O."""
--- a/packages/plumsaddle-core/plumsaddle_core/ops/orders.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/orders.py
@@ -4,7 +4,7 @@
 A key is free, or held by one claim. The first claim of a free key holds it. A claim
 appended while another one holds the key is void for good, even once the key is free
 again, because its host has already told the caller so. Claims have no lease and do not
-expire, so a host always knows of losing one: a claim ends only by an event of its own
+expire, so no host loses one without noticing: a claim ends only by an event of its own
 host (done, released) or of an operator (settled).
 
 The state of a claim only moves forward, so duplicate and late records change nothing.
