--- a/packages/plumsaddle-core/plumsaddle_core/core/parts.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/parts.py
@@ -1,8 +1,8 @@
 """
 Features that a host's settings can disable under `[experiments]`, for measurements.
 
-Requests are still answered correctly without them, but without floor trials fewer
-targets may stay in use than the floor requires.
+Disabling them breaks no guarantee to callers, except that without floor trials fewer
+targets than the floor may stay in use.
 """
 
 import enum
@@ -27,5 +27,5 @@
     SERVICE_TIMES = "work-times"
     # Requests that are suspected of crashing targets are held.
     SUSPECT_HOLDS = "holding-back"
-    # Traffic between hosts is limited to a share of their link rates.
+    # The bytes and datagrams that a host sends to other hosts are limited.
     BANDWIDTH_LIMIT = "allowance"
--- a/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
@@ -192,7 +192,7 @@
 
         Args:
           target: The target's key.
-          sign: A `Sign`.
+          sign: A `HealthSignal`.
           now: The present, in seconds.
         """
         counts = self._view(target).counts.get(self.own, NOTHING)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/signs.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/signs.py
@@ -29,7 +29,7 @@
       seconds: How long the try took.
       latency: The `Latency` of the service for this kind.
     Returns:
-      A `Sign`, or None if it says nothing.
+      A `HealthSignal`, or None if it says nothing.
     """
     if trouble in BLAMELESS:
         return None
@@ -51,7 +51,7 @@
       seconds: How long the try has taken so far.
       latency: The `Latency` of the service for this kind.
     Returns:
-      A `Sign`, or None if it says nothing yet.
+      A `HealthSignal`, or None if it says nothing yet.
     """
     overdue_after = latency.overdue_after()
     if kind is RequestKind.UPLOAD or overdue_after is None:
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
@@ -49,7 +49,7 @@
     One request on a link, and what has come of its answer.
 
     `body` holds what was received and not yet taken. `fate` is None until the answer
-    is complete (`SendOutcome.WHOLE`) or has failed.
+    is complete (`SendOutcome.SUCCEEDED`) or has failed.
     """
 
     def __init__(self, request_id):
