--- a/packages/plumsaddle-core/plumsaddle_core/ops/peer_updates.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/peer_updates.py
@@ -1,10 +1,9 @@
 """
-What hosts tell each other of their work, as typed messages.
+Typed messages by which hosts share requests in flight, outcomes and counts.
 
-Hosts of one data centre tell each other all: work in flight, outcomes, counts. Bytes
-between data centres are paid for, so hosts of other data centres are told only the
-outcomes that change what is believed of a target, which targets got work, and the
-sums of work in flight.
+Hosts of one data centre exchange all of them. Traffic between data centres is charged
+for, so only outcomes that change a failure estimate, the targets in use, and totals of
+requests in flight are sent to other data centres.
 """
 
 import enum
@@ -15,17 +14,16 @@
 
 from ..core.ids import DataCentre, HostId, ServiceName, TargetIncarnation
 
-# Notes kept for telling. A host whose allowance is used up tells some tens of
-# outcomes together; what is older than these is not worth telling any more.
+# Records kept for sending; older ones are dropped.
 MAX_PENDING = 48
 
 
 class HealthSignal(enum.Enum):
     """
-    What one send says about its target.
+    What the outcome of one send says about its target.
 
-    A send that was told as stuck may be answered whole after all. That is late: it
-    teaches how long the route takes, and does not undo what was told.
+    A send reported as STUCK may still succeed. It is then reported as LATE, which
+    updates the route's durations but doesn't take back the first report.
     """
 
     SUCCEEDED = 0
@@ -36,12 +34,12 @@
     SHED = 5
 
 
-# Outcomes that can wait to be told: they make no target look worse.
+# Signals whose sending may be delayed, since they raise no failure estimate.
 DEFERRABLE_OUTCOMES = {HealthSignal.SUCCEEDED, HealthSignal.LATE}
 
 
 class OutcomeRecord(NamedTuple):
-    """One outcome: its number at the host that saw it, and what it saw."""
+    """The outcome of one send, numbered by the host that observed it."""
 
     number: int
     target: TargetIncarnation
@@ -53,9 +51,9 @@
 
 class Evidence(NamedTuple):
     """
-    What an outcome says of a target to hosts elsewhere.
+    The evidence of an outcome about a target, for other data centres.
 
-    `ratio` is how much likelier the outcome is of a failing target than of a sound one.
+    `ratio` is the likelihood ratio of the outcome: failing to healthy target.
     """
 
     number: int
@@ -64,7 +62,7 @@
 
 
 class Counts(NamedTuple):
-    """What a host has done for a service since it started."""
+    """Cumulative counts of a host for a service since the host started."""
 
     requests: int = 0
     retries: int = 0
@@ -72,22 +70,21 @@
     unserved: int = 0
 
     def plus(self, more):
-        """Return the sum with other counts."""
+        """Return the sum of both counts."""
         return Counts(*(a + b for a, b in zip(self, more, strict=True)))
 
     def minus(self, less):
-        """Return the difference to other counts."""
+        """Return the difference of both counts."""
         return Counts(*(a - b for a, b in zip(self, less, strict=True)))
 
 
 class PeerUpdate(NamedTuple):
     """
-    A message to the hosts of the data centre: work in flight and the last outcomes.
+    A message within a data centre: requests in flight and the latest outcomes.
 
-    `in_flight` is by `tag_of` the life of a target.
-    `life` is drawn anew at each start of the host, and `number` counts its messages.
-    `counts` are what it has done for each service since it started; a message without
-    them says nothing of it.
+    `in_flight` is keyed by target tag. `incarnation` is drawn at random at each start
+    of the host, and `number` is the sequence number of the message. `counts` are
+    cumulative per service, and empty if the message doesn't report them.
     """
 
     host: HostId
@@ -100,9 +97,7 @@
 
 class RemoteUpdate(NamedTuple):
     """
-    A message to other data centres: evidence, and targets that got work lately.
-
-    `used` are tags as `tag_of` gives them.
+    A message to other data centres: evidence, and the tags of targets in use.
     """
 
     host: HostId
@@ -113,9 +108,9 @@
 
 class RemoteLoad(NamedTuple):
     """
-    A message to other data centres: all work in flight from the hosts of one.
+    A message to other data centres: the requests in flight from all hosts of one.
 
-    `counts` are by `tag_of` the life of a target. `number` counts a host's messages.
+    `counts` is keyed by target tag. `number` is the sequence number of the message.
     """
 
     centre: DataCentre
@@ -126,7 +121,7 @@
 
 
 class RemoteLoadTotal(NamedTuple):
-    """Work in flight from several data centres together, by tag of target."""
+    """Requests in flight from several data centres together, by target tag."""
 
     centres: tuple[DataCentre, ...]
     counts: dict[int, int]
@@ -135,21 +130,18 @@
 @functools.lru_cache(maxsize=65536)
 def tag_of(target):
     """
-    Return a short name of a target's life, for messages that name many of them.
+    Return the tag of a target's incarnation: a 32-bit checksum that shortens messages.
 
-    It takes five bytes for sixteen. Of ten thousand targets one pair in a hundred such
-    fleets shares a tag, and then counts as busy as both together.
+    Targets whose tags collide are counted as one.
     """
     return zlib.crc32(target.encode())
 
 
 class Outbox:
     """
-    Numbered notes that are told in two messages each.
+    Numbered records, each sent in two messages to tolerate lost datagrams.
 
-    Datagrams are lost now and then. Each receiver takes a number once, so telling
-    twice costs some bytes and makes a loss of one note in ten thousand out of one in
-    a hundred.
+    Receivers drop duplicates by number.
     """
 
     def __init__(self):
@@ -159,33 +151,32 @@
         self._sent_twice = 0
 
     def add(self, record):
-        """Keep a note, whose number must be `count`."""
+        """Append a record, whose number must be `count`."""
         self._records.append(record)
         self.count += 1
 
     @property
     def has_unsent(self):
-        """Whether a note has not been told at all."""
+        """Whether a record has not been sent yet."""
         return self._sent_once < self.count
 
     def next_batch(self):
-        """Return the notes for the next message."""
+        """Return the records for the next message."""
         since = self._sent_twice
         self._sent_twice, self._sent_once = self._sent_once, self.count
         return tuple(record for record in self._records if record.number >= since)
 
     def recent(self):
-        """Return all notes that are kept."""
+        """Return all records that are kept."""
         return tuple(self._records)
 
 
 class Inbox:
     """
-    The numbers of one sender's notes, and its lives, so that each note counts once.
+    Drops duplicate records of one sender, and messages of its past incarnations.
 
-    A sender that starts again draws another life. Lives have no order that a host
-    could keep without a disk, and the time of day jumps; so the lives that were
-    followed by another one are remembered, and their messages are dropped.
+    Incarnations are random and have no order, so those that have been replaced are
+    remembered.
     """
 
     def __init__(self, incarnation):
@@ -194,22 +185,22 @@
         self._seen = deque(maxlen=MAX_PENDING)
 
     def is_past(self, incarnation):
-        """Return whether a life has ended, so that its messages come late."""
+        """Return whether an incarnation has been replaced by a later one."""
         return incarnation in self._past
 
     def reset(self, incarnation):
-        """Begin a new life of the sender."""
+        """Start a new incarnation of the sender."""
         self._past.append(self.incarnation)
         self.incarnation = incarnation
         self._seen.clear()
 
     def unseen(self, records):
         """
-        Return the notes that have not come before.
+        Return the records that have not been received before.
 
-        Notes from another data centre come by way of different hosts, so a later one
-        may arrive first; only the numbers themselves tell what has come.
+        Records from another data centre arrive through different hosts and thus out of
+        order, so all recent numbers are compared and not only the highest.
         """
-        update = [record for record in records if record.number not in self._seen]
-        self._seen.extend(record.number for record in update)
-        return update
+        fresh = [record for record in records if record.number not in self._seen]
+        self._seen.extend(record.number for record in fresh)
+        return fresh
--- a/packages/plumsaddle-core/plumsaddle_core/ops/registry.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/registry.py
@@ -1,26 +1,24 @@
 """
 The platform's list of targets as one host knows it.
 
-Changes arrive in the order of their offsets and are applied as they come, but for one
-case. While the store is away, entries of targets that live may lapse, since nobody
-could renew them; they are back within two seconds of its return. To drop them all at
-once would leave a service without targets although all of them work. So when a large
-part of the ready targets vanishes around the store's return, they stay usable for most
-of those two seconds, and are dropped then unless they have come back. When only a few
-vanish, the store was not away but this host was cut off from it, and those few have
-left: they are dropped at once.
+Changes are applied as they arrive, with one exception. Entries of live targets may
+lapse while the store is unavailable, since they cannot be renewed; they are written
+again within two seconds of its recovery. So if a large share of the ready targets is
+removed around a recovery, they stay usable for a grace period and are removed if they
+are not listed again by its end. If only a few are missing, this host alone was
+disconnected and those targets have left: they are removed at once.
 """
 
 import math
 
 from ..core.traffic import TargetState
 
-# Entries that lapsed with the store away are promised back two seconds after its
-# return. A host notices the return up to a second late, and whoever is still missing
-# three seconds after it must not be used any more.
-LAPSE_FOR = 1.5
-# The part of the ready targets that must vanish to be taken for a lapse. Releases and
-# scaling take away less than this while a host is cut off for some seconds.
+# Lapsed entries stay usable for this long (seconds) after the store's recovery. Hosts
+# notice a recovery up to a second late, and must not use a target that is still missing
+# three seconds after it.
+LAPSE_GRACE = 1.5
+# Removals of more than this share of the ready targets count as a lapse. Releases and
+# scaling remove fewer during a short disconnection.
 LAPSE_SHARE = 0.4
 
 
@@ -31,57 +29,56 @@
         self.targets = {}
         self.by_service = {}
         self.next_offset = 0
-        # Grows with each change of what is listed.
+        # Incremented with each change of the listed targets.
         self.revision = 0
         self._offsets = {}
         self._lapsing = {}
-        self._away_since = None
-        self._returned_at = -math.inf
+        self._unavailable_since = None
+        self._recovered_at = -math.inf
 
     def note_store_unavailable(self, now):
-        """Take note that the store did not answer."""
-        if self._away_since is None:
-            self._away_since = now
+        """Record that the store did not respond."""
+        if self._unavailable_since is None:
+            self._unavailable_since = now
 
     def note_store_available(self, now):
-        """Take note that the store answers again."""
-        if self._away_since is not None:
-            self._away_since = None
-            self._returned_at = now
+        """Record that the store responds."""
+        if self._unavailable_since is not None:
+            self._unavailable_since = None
+            self._recovered_at = now
 
-    def note_store_recovery(self, returned_at):
-        """Take from another host when the store came back for it."""
-        self._returned_at = max(self._returned_at, returned_at)
+    def note_store_recovery(self, recovered_at):
+        """Record when the store recovered for another host."""
+        self._recovered_at = max(self._recovered_at, recovered_at)
 
     def put(self, target, offset, now):
         """
-        Take a target's entry.
+        Add or replace a target's entry.
 
         Args:
           target: The `Target`.
-          offset: Where the entry stands in the log; an older one is ignored.
-          now: The present, in seconds.
+          offset: The entry's offset in the log; older entries are ignored.
+          now: The current time, in seconds.
         Returns:
-          The `Target` as it was listed before if that was another life of it, which
-          has ended then, else None.
+          The target's previous entry if the target has restarted, else None.
         """
         if self._is_old(target.id, offset):
             return None
         self._lapsing.pop(target.id, None)
-        former = self.targets.get(target.id)
-        if former is not None and former.service != target.service:
-            self._unlist(former)
+        previous = self.targets.get(target.id)
+        if previous is not None and previous.service != target.service:
+            self._unlist(previous)
         self.revision += 1
         self.targets[target.id] = target
         self.by_service.setdefault(target.service, {})[target.id] = target
-        has_restarted = former is not None and former.incarnation != target.incarnation
-        return former if has_restarted else None
+        has_restarted = (
+            previous is not None and previous.incarnation != target.incarnation
+        )
+        return previous if has_restarted else None
 
     def reject(self, target_id, offset):
         """
-        Take an entry that cannot be used: the target that it was for gets no more work.
-
-        Nothing else is touched, and the next good entry brings the target back.
+        Remove a target whose latest entry is invalid, until the next valid entry.
         """
         if self._is_old(target_id, offset) or target_id not in self.targets:
             return
@@ -94,11 +91,11 @@
 
     def drop(self, gone, now):
         """
-        Take the removal of entries that are told together.
+        Remove targets whose entries were removed in one batch.
 
         Args:
-          gone: A dictionary of target id to the offset of its removal.
-          now: The present, in seconds.
+          gone: A dictionary of target id to the offset of the removal.
+          now: The current time, in seconds.
         """
         ids = [
             target_id
@@ -106,7 +103,7 @@
             if not self._is_old(target_id, offset) and target_id in self.targets
         ]
         ready = [t for t in self.targets.values() if t.state is TargetState.READY]
-        end = self._returned_at + LAPSE_FOR
+        end = self._recovered_at + LAPSE_GRACE
         is_lapse = now < end and len(ids) > LAPSE_SHARE * len(ready)
         for target_id in ids:
             target = self.targets[target_id]
@@ -118,24 +115,24 @@
 
     def missing(self, ids, offset):
         """
-        Return what a full listing no longer names, as `drop` takes it.
+        Return the targets that a full listing lacks, in the form that `drop` takes.
 
         Args:
-          ids: The ids that the listing names.
+          ids: The listed target ids.
           offset: The end of the log when the listing began.
         """
         return {key: offset for key in self.targets if key not in ids}
 
     def expire(self, now):
-        """Drop entries that lapsed and did not come back, and return their ids."""
-        late = [key for key, end in self._lapsing.items() if end <= now]
-        for target_id in late:
+        """Remove targets whose grace period has ended, and return their ids."""
+        expired = [key for key, end in self._lapsing.items() if end <= now]
+        for target_id in expired:
             del self._lapsing[target_id]
             self._remove(self.targets[target_id])
-        return late
+        return expired
 
     def usable(self, service):
-        """Return the targets of a service that may get new work."""
+        """Return the targets of a service that may receive new requests."""
         listed = self.by_service.get(service, {})
         return [t for t in listed.values() if t.state is TargetState.READY]
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/registry_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/registry_test.py
@@ -3,7 +3,7 @@
 """
 
 from ..core.traffic import Target, TargetState
-from .registry import LAPSE_FOR, Registry
+from .registry import LAPSE_GRACE, Registry
 
 
 def _target(number, state=TargetState.READY):
@@ -34,7 +34,7 @@
     registry.drop({f"t{number}": 10 for number in range(4)}, 20.1)
     assert len(_ids(registry)) == 4
     registry.put(_target(1), 11, 21.0)
-    registry.expire(20.0 + LAPSE_FOR)
+    registry.expire(20.0 + LAPSE_GRACE)
     assert _ids(registry) == {"t1"}
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/remote_load.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/remote_load.py
@@ -1,22 +1,20 @@
 """
-Work in flight from other data centres, as each of them tells it in sums.
+Requests in flight from other data centres.
 
-One host of a data centre, its hub, is told the sums of each other one and tells all
-hosts here the sum over them. So what a host hears of elsewhere does not grow with the
-number of data centres.
+The hub receives the load of each other data centre and sends their total to all hosts
+of its own. What the other hosts receive does not grow with the number of data centres.
 """
 
 from collections import Counter
 
 from .peer_updates import RemoteLoadTotal
 
-# Work in flight elsewhere is told ten times a second; after this many seconds without
-# it a data centre is cut off, and what it had in flight has mostly ended.
+# Loads are discarded if they are not updated for this long (seconds).
 REMOTE_LOAD_TTL = 1.5
 
 
 class RemoteLoads:
-    """The last `RemoteLoad` of each other data centre, or the last sum over them."""
+    """The latest `RemoteLoad` of each other data centre, and the latest total."""
 
     def __init__(self):
         self._loads = {}
@@ -25,11 +23,11 @@
 
     def apply(self, load, now):
         """
-        Take a data centre's sums; an older message of the same host is ignored.
+        Apply a data centre's load, unless it is older than the known one.
 
         Args:
           load: The `RemoteLoad`.
-          now: The present, in seconds.
+          now: The current time, in seconds.
         """
         known, _ = self._loads.get(load.centre, (None, 0.0))
         is_same = known is not None and (known.host, known.incarnation) == (
@@ -58,12 +56,12 @@
         )
 
     def apply_total(self, total, now):
-        """Take `RemoteLoadTotal`; they replace the former ones."""
+        """Replace the `RemoteLoadTotal`."""
         self._total = total
         self._total_at = now
 
     def is_known(self, centre, now):
-        """Return whether a data centre has told its work lately."""
+        """Return whether a data centre's load is known and up to date."""
         return centre in self._total.centres and now - self._total_at < REMOTE_LOAD_TTL
 
     def in_flight(self, tag):
@@ -71,7 +69,7 @@
         return self._total.counts.get(tag, 0)
 
     def evict_silent(self, now):
-        """Forget the work of data centres that have been silent."""
+        """Evict loads that are out of date."""
         heard = self._loads.items()
         self._loads = {
             c: entry for c, entry in heard if now - entry[1] < REMOTE_LOAD_TTL
