--- a/packages/plumsaddle-core/plumsaddle_core/ops/registry.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/registry.py
@@ -86,7 +86,7 @@
         self._remove(self.targets[target_id])
 
     def lives(self):
-        """Return the lives of all listed targets."""
+        """Return the incarnations of all listed targets."""
         return {target.incarnation for target in self.targets.values()}
 
     def drop(self, gone, now):
