--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings, strategies as st
 
 from ..core.traffic import Target, TargetState
-from .peer_updates import (
+from .news import (
     Counts,
     Evidence,
     HealthSignal,
--- a/packages/plumsaddle-core/plumsaddle_core/ops/remote_load.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/remote_load.py
@@ -7,7 +7,7 @@
 
 from collections import Counter
 
-from .peer_updates import RemoteLoadTotal
+from .news import RemoteLoadTotal
 
 # Loads are discarded if they are not updated for this long (seconds).
 REMOTE_LOAD_TTL = 1.5
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -31,7 +31,7 @@
     rare_outcome_likelihood_ratio,
 )
 from .floor import RecentResults
-from .peer_updates import (
+from .news import (
     Counts,
     Evidence,
     HealthSignal,
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
@@ -6,7 +6,7 @@
 
 from ..core.traffic import RequestKind, Target, TargetState
 from .choice import Candidate, RequestProfile, choose_target
-from .peer_updates import Counts, HealthSignal, OutcomeRecord, PeerUpdate, tag_of
+from .news import Counts, HealthSignal, OutcomeRecord, PeerUpdate, tag_of
 from .share import SAFETY_FACTOR, CentreRetryBudget
 from .times import DEFAULT_DURATION
 from .zone import PEER_TIMEOUT, SharedState
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/bundles_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/bundles_test.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from plumsaddle_core.ops.peer_updates import RemoteLoadTotal
+from plumsaddle_core.ops.news import RemoteLoadTotal
 
 from .bundles import CLIENT_FOR, KEPT_OF_HOST, Collected
 from .messages import Work, decode, encode, unpack_bundle
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
@@ -7,8 +7,7 @@
 
 import msgspec
 
-from plumsaddle_core.ops.peer_table import StoreStatus
-from plumsaddle_core.ops.peer_updates import (
+from plumsaddle_core.ops.news import (
     Counts,
     Evidence,
     HealthSignal,
@@ -18,6 +17,7 @@
     RemoteLoadTotal,
     RemoteUpdate,
 )
+from plumsaddle_core.ops.peer_table import StoreStatus
 
 from ..platform.store import KeyedRecord
 
