--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -30,6 +30,7 @@
     FailureEstimator,
     rare_outcome_likelihood_ratio,
 )
+from .elsewhere import RemoteLoads
 from .floor import RecentResults
 from .news import (
     Counts,
@@ -40,7 +41,6 @@
     OutcomeRecord,
     tag_of,
 )
-from .remote_load import RemoteLoads
 from .share import CentreRetryBudget
 from .suspects import SuspectRequests
 from .times import RouteTimes
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -9,6 +9,7 @@
 from hypothesis import example, given, settings, strategies as st
 
 from plumsaddle_core.core.traffic import Bounds, HostSettings
+from plumsaddle_core.ops.elsewhere import REMOTE_LOAD_TTL
 from plumsaddle_core.ops.news import HealthSignal, tag_of
 from plumsaddle_core.ops.peer_table import (
     AVOIDED_FOR,
@@ -16,7 +17,6 @@
     READERS,
     UNHEARD_FOR,
 )
-from plumsaddle_core.ops.remote_load import REMOTE_LOAD_TTL
 from plumsaddle_core.ops.suspects import RunRecord
 from plumsaddle_core.ops.zone import SharedState
 
