--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
@@ -18,9 +18,10 @@
 START = 1000.0
 
 
-def _hosts(count, workspaces=(ONE,), tolerance=EXACT, centres=1):
+def _hosts(count, workspaces=(ONE,), tolerance=EXACT, data_centre_count=1):
     hosts = [
-        Quotas(tolerance, centres, random.Random(number)) for number in range(count)
+        Quotas(tolerance, data_centre_count, random.Random(number))
+        for number in range(count)
     ]
     for own, host in enumerate(hosts):
         host.configure(workspaces, START)
@@ -133,7 +134,7 @@
     When hosts with different sums report for a data centre in turn, the difference must
     not be counted as new requests each time.
     """
-    here, more, less = _hosts(3, centres=2)
+    here, more, less = _hosts(3, data_centre_count=2)
     _count_admitted(more, 12, START)
     _count_admitted(less, 4, START)
     for _ in range(20):
@@ -147,7 +148,7 @@
 def test_workspaces_far_from_their_limits_are_not_reported_to_other_data_centres():
     """Guards against messages that grow with the number of all active workspaces."""
     big = Workspace("big", (), rate=500.0, burst=500.0)
-    (host,) = _hosts(1, (ONE, big), centres=2)
+    (host,) = _hosts(1, (ONE, big), data_centre_count=2)
     for step in range(50):
         now = START + 0.1 * step
         _count_admitted(host, 1, now, ONE)
