--- a/packages/plumsaddle-core/plumsaddle_core/ops/peer_table_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
@@ -2,7 +2,7 @@
 Tests of which hosts do a part for all, as each host finds it by itself.
 """
 
-from .peer_table import (
+from .neighbours import (
     AVOIDED_FOR,
     FIRST_ASKERS,
     HUB_SILENT_FOR,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
@@ -7,6 +7,7 @@
 
 import msgspec
 
+from plumsaddle_core.ops.neighbours import StoreStatus
 from plumsaddle_core.ops.news import (
     Counts,
     Evidence,
@@ -17,7 +18,6 @@
     RemoteLoadTotal,
     RemoteUpdate,
 )
-from plumsaddle_core.ops.peer_table import StoreStatus
 
 from ..platform.store import KeyedRecord
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -10,13 +10,13 @@
 
 from plumsaddle_core.core.traffic import Bounds, HostSettings
 from plumsaddle_core.ops.elsewhere import REMOTE_LOAD_TTL
-from plumsaddle_core.ops.news import HealthSignal, tag_of
-from plumsaddle_core.ops.peer_table import (
+from plumsaddle_core.ops.neighbours import (
     AVOIDED_FOR,
     HUB_SILENT_FOR,
     READERS,
     UNHEARD_FOR,
 )
+from plumsaddle_core.ops.news import HealthSignal, tag_of
 from plumsaddle_core.ops.suspects import RunRecord
 from plumsaddle_core.ops.zone import SharedState
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
@@ -5,7 +5,7 @@
 import logging
 import math
 
-from plumsaddle_core.ops.peer_table import StoreStatus
+from plumsaddle_core.ops.neighbours import StoreStatus
 
 from .clock import now
 from .messages import Records, encode, pack_records, unpack_records
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/strangers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/strangers.py
@@ -6,7 +6,7 @@
 two data centres off from each other.
 """
 
-from plumsaddle_core.ops.peer_table import PEER_TTL
+from plumsaddle_core.ops.neighbours import PEER_TTL
 
 from ..utils.addresses import is_address
 
