--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -1,5 +1,5 @@
 """
-Tests of targets that start again under their id.
+Tests of targets that restart under the same id.
 """
 
 from hypothesis import given, settings, strategies as st
@@ -32,10 +32,7 @@
 
 def test_a_restarted_target_begins_anew():
     """
-    A target that has just started gets no work for seconds.
-
-    It failed, died and started again under its id; the hosts still count the former
-    life's failures and the work that died with it.
+    Guards against counting failures and requests of a target's previous incarnation.
     """
     shared = SharedState(0.2, 10.0, started=-100.0)
     former, present = _target(1000), _target(2000)
@@ -50,10 +47,7 @@
 
 def test_late_news_of_a_former_life_is_dropped():
     """
-    A sound target is avoided.
-
-    Two hosts learn of its restart at different times, and the later one still tells
-    failures of the former life, near by and from another data centre.
+    Guards against late updates about a target's previous incarnation.
     """
     shared = SharedState(0.2, 10.0, started=-100.0)
     former, present = _target(1000), _target(2000)
@@ -81,17 +75,14 @@
     former = registry.put(_target(2000), 3, 2.0)
     assert former.incarnation == _target(1000).incarnation
     assert registry.put(_target(2000), 4, 3.0) is None
-    # A record of before that is read later, as from a listing, is no restart.
+    # An older record that is read late, as from a listing, is no restart.
     assert registry.put(_target(1000), 2, 4.0) is None
     assert registry.targets["t"].started_at == 2000
 
 
 def test_a_restart_during_an_outage_of_the_store_is_no_lapse():
     """
-    A target that died while the store was away gets work that it never answers.
-
-    It starts again under its id before the store is back, where its entry is missing
-    at first and then names another life.
+    Guards against taking a target's restart during an outage for a lapsed entry.
     """
     registry = Registry()
     registry.put(_target(1000), 1, 0.0)
@@ -118,7 +109,7 @@
 @given(ENTRIES)
 @settings(max_examples=200, deadline=None)
 def test_the_registry_agrees_with_a_naive_fold(entries):
-    """Whatever the order of arrival, what counts is the record of the last offset."""
+    """The record with the highest offset counts, in whatever order they arrive."""
     registry = Registry()
     newest = {}
     for offset, what, born, service in entries:
--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
@@ -1,13 +1,13 @@
 """
-Tests of which hosts do a part for all, as each host finds it by itself.
+Tests of choosing the hub and the readers.
 """
 
 from .neighbours import (
-    AVOIDED_FOR,
-    FIRST_ASKERS,
+    HUB_RETRY_DELAY,
     HUB_SILENT_FOR,
-    READER_LIVE_FOR,
+    READER_TIMEOUT,
     READERS,
+    STORE_PROBERS,
     PeerTable,
     StoreStatus,
 )
@@ -39,7 +39,7 @@
     readers = [n for n, t in tables.items() if t.is_reader(StoreStatus.TOLD, 0.1)]
     assert len(readers) == READERS
     askers = [n for n, t in tables.items() if t.is_first_asker(0.1)]
-    assert len(askers) == FIRST_ASKERS
+    assert len(askers) == STORE_PROBERS
 
 
 def test_a_reader_that_lost_the_store_is_replaced_by_the_next():
@@ -66,7 +66,7 @@
     """
     tables = _fleet()
     lost = [n for n, t in tables.items() if t.is_reader(StoreStatus.TOLD, 0.1)]
-    at = READER_LIVE_FOR
+    at = READER_TIMEOUT
     _hear(tables, set(NAMES) - set(lost), at)
     readers = [
         n
@@ -74,7 +74,7 @@
         if n not in lost and t.is_reader(StoreStatus.TOLD, at)
     ]
     assert len(readers) == READERS
-    assert READER_LIVE_FOR < 1.5
+    assert READER_TIMEOUT < 1.5
 
 
 def test_the_only_host_of_a_data_centre_does_all():
@@ -106,7 +106,7 @@
         table.note_hub_heard(second, at)
         table.note_echo(at, at)
         assert not table.pick_hub(at)
-    at = left_at + AVOIDED_FOR
+    at = left_at + HUB_RETRY_DELAY
     _hear({own: table}, NAMES, at)
     table.note_hub_heard(second, at)
     table.note_echo(at, at)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/registry_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/registry_test.py
@@ -23,10 +23,7 @@
 
 def test_a_lapse_of_all_entries_keeps_targets_for_a_while():
     """
-    A service has no targets although all of them work.
-
-    The store is away for longer than entries live; on its return all are missing,
-    and those whose targets live come back within two seconds.
+    Guards against a service without targets after an outage outlasts the entries.
     """
     registry = _filled(4)
     registry.note_store_unavailable(10.0)
@@ -40,9 +37,7 @@
 
 def test_few_missing_entries_are_gone_at_once():
     """
-    A target that left while a host was cut off still gets work from it.
-
-    The host comes back, finds one entry missing and takes it for a lapsed one.
+    Guards against taking a target that has left for a lapsed entry after a partition.
     """
     registry = _filled(6)
     registry.note_store_unavailable(10.0)
@@ -59,9 +54,7 @@
 
 def test_older_records_change_nothing():
     """
-    A target that is leaving gets work again.
-
-    A listing that began before the news is read after it.
+    Guards against an older listing that overrides a newer entry.
     """
     registry = _filled(1)
     registry.put(_target(0, TargetState.DRAINING), 9, 1.0)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/route_table.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/route_table.py
@@ -1,15 +1,15 @@
 """
-Which route a request belongs to on the platform, and which service gets it.
+Finds the route of a request, and chooses the service for it.
 
-The host name selects a set of prefixes, and the longest of them that begins the path
-wins. Each prefix begins and ends with a slash, so a look-up cuts the path at its
-slashes from the right; its cost depends on the path and not on the number of routes.
+The host name selects a set of prefixes, of which the longest matching one wins. Each
+prefix starts and ends with a slash, so a look-up tries the path's own prefixes from the
+longest on; its cost doesn't depend on the number of routes.
 """
 
 
 def build_route_table(routes):
     """
-    Return the table of a configuration's routes.
+    Build the route table of a configuration.
 
     Args:
       routes: The `Route` tuples.
@@ -27,7 +27,7 @@
     Find the route of a request.
 
     Args:
-      table: What `build_table` returned.
+      table: The result of `build_route_table`.
       host: The Host header, with or without a port.
       path: The path, with or without a query.
     Returns:
@@ -57,8 +57,8 @@
     """
     Return the service for one request of a route, in proportion to the weights.
 
-    The choice stands for the whole request: what does not fit its service is
-    refused, since moving it would undo the operators' split.
+    The choice is final: if its service has no capacity, the request is rejected, since
+    moving it would change the operators' split.
 
     Args:
       route: The `Route`.
--- a/packages/plumsaddle-core/plumsaddle_core/ops/workspaces.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/workspaces.py
@@ -1,18 +1,18 @@
 """
-Which workspace a request belongs to, by the key that it bears.
+Finds the workspace of a request by its API key.
 
-Keys are kept, compared and shown as digests only, so that neither a log nor a copy of
-a host's memory gives one away. A look-up takes the same time for any key, known or not,
-and costs the same however many workspaces there are.
+Keys are stored, compared and logged as digests only, so that neither logs nor memory
+dumps reveal them. Look-up time depends neither on the key nor on the number of
+workspaces.
 """
 
 import hashlib
 
 from ..core.ids import KeyDigest
 
-# Bytes of a digest. Two of a million keys share one by chance once in 10^26 times.
+# Length of a digest in bytes; collisions are negligible.
 DIGEST_BYTES = 16
-# Hexadecimal digits by which a key is shown: enough to tell a fleet's keys apart.
+# Hexadecimal digits of a shortened digest.
 SHOWN_DIGITS = 8
 SCHEME = b"bearer"
 
@@ -23,15 +23,15 @@
 
 
 def short_digest(digest):
-    """Return the text by which a key may be shown and logged."""
+    """Return a shortened digest for display and logs."""
     return digest.hex()[:SHOWN_DIGITS]
 
 
 def index_keys(workspaces):
     """
-    Return the workspaces by digest of key, and the digests that several of them hold.
+    Return the workspaces by key digest, and the digests listed by several of them.
 
-    A key of two workspaces would let one act as the other, so it opens neither.
+    A key of several workspaces is valid for none, as one could act as the other.
 
     Args:
       workspaces: The `Workspace` tuples of a configuration.
@@ -50,13 +50,13 @@
 
 def read_key(headers):
     """
-    Return the key that a request bears.
+    Return the bearer key of a request.
 
     Args:
       headers: The request's headers, as pairs of bytes.
     Returns:
-      The key's bytes, or None if it bears none, several, or credentials of another
-      scheme. Of several, hosts and targets might each go by another one.
+      The key's bytes, or None if there are no credentials, several, or those of another
+      scheme. Of several, hosts and targets might each use a different one.
     """
     values = [v for name, v in headers if name.lower() == b"authorization"]
     if len(values) != 1:
--- a/packages/plumsaddle-core/plumsaddle_core/ops/workspaces_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/workspaces_test.py
@@ -1,5 +1,5 @@
 """
-Tests of whom a request belongs to, by the key that it bears.
+Tests of finding a request's workspace by its key.
 """
 
 import pytest
@@ -17,9 +17,7 @@
 
 def test_a_key_of_two_workspaces_opens_neither():
     """
-    An artist gets another one's statements.
-
-    A key was published for two workspaces by mistake, and the last one won.
+    Guards against access to another workspace by a key published for both.
     """
     one, two = Workspace("one", (A, B)), Workspace("two", (A,))
     index, shared = index_keys([one, two])
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
@@ -1,5 +1,5 @@
 """
-Tests of what the hosts of a data centre know together.
+Tests of the state that the hosts of a data centre share.
 """
 
 import random
@@ -28,9 +28,7 @@
 
 def test_an_outcome_counts_once():
     """
-    A sound target looks failing, because one failure was told several times.
-
-    Messages repeat the last outcomes, so that a lost one costs nothing.
+    Guards against counting an outcome again when later messages repeat it.
     """
     shared, once = _shared(), _shared()
     once.apply_update(_update(1, [(0, "t", HealthSignal.FAILED)]), 1.0)
@@ -72,9 +70,7 @@
 
 def test_work_that_is_always_long_convicts_nobody():
     """
-    Sound targets are avoided, because some requests outlast their route's time.
-
-    A route's requests hang whatever their target does; another route's do not.
+    Guards against avoiding healthy targets because a route's requests always take long.
     """
     shared = _shared()
     for number in range(40):
@@ -91,7 +87,7 @@
 
 def test_a_median_belongs_to_a_route():
     """
-    Ordinary work looks stuck beside requests that take a millisecond.
+    Guards against judging slow routes by the durations of fast ones.
     """
     shared = _shared()
     for number in range(100):
@@ -106,9 +102,7 @@
 
 def test_a_new_route_is_taken_for_ordinary_work():
     """
-    Look-ups are sent twice from the first one on, and their targets are doubted.
-
-    Only a route that takes milliseconds is known of their service so far.
+    Guards against judging a new route by the only known one, which takes milliseconds.
     """
     shared = _shared()
     for number in range(10):
@@ -118,10 +112,7 @@
 
 def test_a_median_that_is_too_short_is_unlearned():
     """
-    All day a third of the look-ups are sent twice after some milliseconds.
-
-    The first answers of a route came quickly. All later sends take longer than three
-    times that, count as stuck, and taught nothing.
+    Guards against a median that stays too short after fast first responses.
     """
     shared = _shared()
     for number in range(10):
@@ -134,9 +125,7 @@
 
 def test_a_target_that_refuses_with_room_is_doubted_unless_all_do():
     """
-    Requests are refused although other targets have room.
-
-    A target refuses all work at once, so it is never busy and looks like the best.
+    Guards against preferring a target that rejects everything and is thus never busy.
     """
     shared = _shared()
     for number in range(30):
@@ -151,10 +140,7 @@
 
 def test_hosts_together_keep_the_bound_on_retries():
     """
-    A service that fails gets twice its load.
-
-    Every request wants a retry; twelve hosts spend the data centre's share, and
-    messages reach the others after the next request only.
+    Guards against twelve hosts exceeding the data centre's retry budget together.
     """
     rng = random.Random(3)
     shared_states = [_shared() for _ in range(12)]
@@ -180,10 +166,7 @@
 
 def test_a_restarted_host_spends_nothing_twice():
     """
-    A service that fails gets more retries than all hosts may send.
-
-    All hosts are killed and come back within the window, and each of them knows
-    nothing of what it spent before.
+    Guards against spending the retry budget twice when all hosts restart at once.
     """
     shared = SharedState(0.2, 10.0, started=50.0)
     assert not shared.may_retry("look", 50.0, 51.0)
@@ -239,10 +222,7 @@
 
 def test_lost_hosts_are_trouble():
     """
-    Half of the hosts are killed; the others see no failure and leave targets out.
-
-    The requests in the killed hosts fail, and more than a tenth of the service's
-    requests is not served, while sound targets stand idle.
+    Guards against missing that a service is degraded when lost hosts report nothing.
     """
     shared = _shared()
     for number in range(11):
@@ -261,10 +241,7 @@
 
 def test_a_target_that_one_host_cannot_reach_is_sound_for_the_others():
     """
-    Half of a service's targets get no work although all of them are sound.
-
-    A fifth of the hosts have lost their paths to these targets. Their connections are
-    not answered, and what they tell makes every other host avoid the targets too.
+    Guards against all hosts avoiding targets that only a fifth of them can't reach.
     """
     cut, other = _shared(), _shared()
     for number in range(12):
