--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -11,10 +11,10 @@
 from plumsaddle_core.core.traffic import Bounds, HostSettings
 from plumsaddle_core.ops.elsewhere import REMOTE_LOAD_TTL
 from plumsaddle_core.ops.neighbours import (
-    AVOIDED_FOR,
+    ECHO_TIMEOUT,
+    HUB_RETRY_DELAY,
     HUB_SILENT_FOR,
     READERS,
-    UNHEARD_FOR,
 )
 from plumsaddle_core.ops.news import HealthSignal, tag_of
 from plumsaddle_core.ops.suspects import RunRecord
@@ -443,7 +443,7 @@
     frozen[0].tell_soon(is_urgent=False)
     net.deliver()
     assert all(shared.in_flight("t") == 1 for _, shared, _ in left)
-    net.play(AVOIDED_FOR)
+    net.play(HUB_RETRY_DELAY)
     assert _hub(net, hosts[:4]) == hub
 
 
@@ -456,7 +456,7 @@
     hosts = _fleet(net, 4)
     hub = _hub(net, hosts[:4])
     net.slow[hub] = 2.0
-    net.play(UNHEARD_FOR + 2 * HUB_EVERY)
+    net.play(ECHO_TIMEOUT + 2 * HUB_EVERY)
     left = [host for host in hosts[:4] if host[2] != hub]
     assert _hub(net, left) != hub
 
@@ -472,7 +472,7 @@
     apart = next(host for host in hosts[:4] if host[2] != hub)
     net.broken.add((apart[2], hub))
     others = [host for host in hosts[:4] if host[2] != apart[2]]
-    for _ in range(round(UNHEARD_FOR / HUB_EVERY) + 2):
+    for _ in range(round(ECHO_TIMEOUT / HUB_EVERY) + 2):
         # The hub goes on telling all hosts of the others' work.
         for peers, shared, _ in others:
             shared.note_outcome("u", "act", "r", HealthSignal.SUCCEEDED, 0.2, net.at)
