--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -94,7 +94,7 @@
             self._life,
             self._load_number,
             self._shared.local_load(),
-            local_hosts=tuple(self._shared.quotas.local_hosts()),
+            hosts=tuple(self._shared.quotas.local_hosts()),
             quotas=[tuple(row) for row in self._shared.quotas.remote_rows(at)],
         )
         self._send_to_each(encode(load), at)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -315,7 +315,7 @@
     )
     again.connection_made(_Transport(net, address))
     again._peer_table.note_heard(hosts[1][2], net.at)
-    fresh.start("t", net.at)
+    fresh.note_send_start("t", net.at)
     again.tell_soon(is_urgent=False)
     net.deliver()
     assert hosts[1][1].in_flight("t") == 2
@@ -378,7 +378,7 @@
     hosts = _fleet(net)
     hub = _hub(net, hosts[:3])
     left = [host for host in hosts[:3] if host[2] != hub]
-    left[0][1].start("t", net.at)
+    left[0][1].note_send_start("t", net.at)
     left[0][0].tell_soon(is_urgent=False)
     net.deliver()
     net.cut.add(hub)
@@ -439,7 +439,7 @@
     left = [host for host in hosts[:4] if host[2] != hub]
     assert _hub(net, left) != hub
     frozen = next(host for host in hosts[:4] if host[2] == hub)
-    frozen[1].start("t", net.at)
+    frozen[1].note_send_start("t", net.at)
     frozen[0].tell_soon(is_urgent=False)
     net.deliver()
     assert all(shared.in_flight("t") == 1 for _, shared, _ in left)
@@ -478,7 +478,7 @@
             shared.note_outcome("u", "act", "r", HealthSignal.SUCCEEDED, 0.2, net.at)
             peers.tell_soon(is_urgent=False)
         net.play(HUB_EVERY)
-    apart[1].start("t", net.at)
+    apart[1].note_send_start("t", net.at)
     apart[0].tell_soon(is_urgent=False)
     net.deliver()
     assert all(shared.in_flight("t") == 1 for _, shared, _ in hosts[:4])
