--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -30,7 +30,7 @@
     return PeerUpdate(host, 1, number, tags, notes, {"look": Counts()})
 
 
-def test_a_restarted_target_begins_anew():
+def test_a_restarted_target_starts_without_state():
     """
     Guards against counting failures and requests of a target's previous incarnation.
     """
@@ -45,7 +45,7 @@
     shared.note_send_end(former.incarnation)
 
 
-def test_late_news_of_a_former_life_is_dropped():
+def test_late_updates_about_a_previous_incarnation_are_ignored():
     """
     Guards against late updates about a target's previous incarnation.
     """
@@ -68,7 +68,7 @@
     assert former.incarnation not in shared.target_estimators
 
 
-def test_the_registry_tells_a_restart_once():
+def test_the_registry_reports_a_restart_once():
     registry = Registry()
     assert registry.put(_target(1000), 1, 0.0) is None
     assert registry.put(_target(1000, TargetState.DRAINING), 2, 1.0) is None
--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
@@ -44,8 +44,7 @@
 
 def test_a_reader_that_lost_the_store_is_replaced_by_the_next():
     """
-    A data centre learns of no change, since the store turns its two readers away and
-    serves all other hosts.
+    Guards against missing changes because the store rejects just the two readers.
     """
     tables = _fleet()
     lost = [n for n, t in tables.items() if t.is_reader(StoreStatus.TOLD, 0.1)]
@@ -61,8 +60,7 @@
 
 def test_silent_readers_are_replaced_within_the_time_for_a_change():
     """
-    A target that is leaving gets work for more than two seconds: both readers were cut
-    off when it began to leave, and nobody else asked the store.
+    Guards against missing changes for over two seconds when both readers are lost.
     """
     tables = _fleet()
     lost = [n for n, t in tables.items() if t.is_reader(StoreStatus.TOLD, 0.1)]
@@ -86,8 +84,7 @@
 
 def test_a_silent_hub_is_left_and_not_taken_back_at_once():
     """
-    A hub whose processor is slow tells each second or so; if its clients left it and
-    came back by turns, each change would lose what was told to the other one.
+    Guards against flapping between a slow hub and its replacement.
     """
     tables = _fleet()
     own = NAMES[0]
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
@@ -44,21 +44,21 @@
     assert shared.in_flight("t") == 3
 
 
-def test_a_restarted_host_begins_anew():
+def test_a_restarted_host_starts_without_state():
     shared = _shared()
     shared.apply_update(_update(500, in_flight={"t": 3}, incarnation=1), 1.0)
     shared.apply_update(_update(1, in_flight={"t": 1}, incarnation=2), 2.0)
     assert shared.in_flight("t") == 1
 
 
-def test_the_work_of_a_silent_host_is_forgotten():
+def test_a_silent_host_is_evicted_with_its_requests():
     shared = _shared()
     shared.apply_update(_update(1, in_flight={"t": 4}), 1.0)
     assert shared.evict_silent(1.1 + PEER_TIMEOUT) == ["peer"]
     assert shared.in_flight("t") == 0
 
 
-def test_one_failure_convicts_and_time_or_an_answer_acquits():
+def test_a_failure_raises_the_estimate_and_time_or_successes_lower_it():
     shared = _shared()
     shared.note_outcome("t", "look", "r", HealthSignal.FAILED, 0.001, 10.0)
     assert shared.failure_probability("t", 10.0) > 0.6
@@ -68,7 +68,7 @@
     assert shared.failure_probability("t", 18.5) < 0.15
 
 
-def test_work_that_is_always_long_convicts_nobody():
+def test_a_slow_route_raises_no_failure_estimate():
     """
     Guards against avoiding healthy targets because a route's requests always take long.
     """
@@ -123,7 +123,7 @@
     assert shared.times.typical_duration("look", "r") == 0.4
 
 
-def test_a_target_that_refuses_with_room_is_doubted_unless_all_do():
+def test_a_target_that_sheds_alone_is_suspected():
     """
     Guards against preferring a target that rejects everything and is thus never busy.
     """
@@ -176,7 +176,7 @@
     assert shared.may_retry("look", 50.0, 70.0)
 
 
-def test_a_host_that_hears_few_takes_little():
+def test_a_host_that_hears_few_others_gets_a_small_allowance():
     shared = _shared()
     for number in range(11):
         shared.apply_update(_update(1, host=f"h{number}"), 1.0)
@@ -205,7 +205,7 @@
     return choose_target(candidates, demand, random.Random(1)).candidate.target.id
 
 
-def test_a_target_that_fails_fast_is_no_spare_room():
+def test_a_target_that_fails_fast_is_not_preferred_to_a_busy_one():
     busy = _candidate("busy", 0.02, 4)
     failing = _candidate("failing", 0.69, 0)
     assert _chosen([busy, failing], _demand()) == "busy"
@@ -220,7 +220,7 @@
     assert _chosen([lost, away], _demand(RequestKind.UPLOAD, 60.0)) == "away"
 
 
-def test_lost_hosts_are_trouble():
+def test_lost_hosts_degrade_services():
     """
     Guards against missing that a service is degraded when lost hosts report nothing.
     """
@@ -258,7 +258,7 @@
     assert not other.is_path_broken("t", 1.2)
 
 
-def test_a_dead_target_is_known_after_three_silences_of_any_hosts():
+def test_three_unreachable_reports_of_any_hosts_reveal_a_dead_target():
     shared = _shared()
     for number in range(3):
         update = _update(1, [(0, "t", HealthSignal.UNREACHABLE)], host=f"h{number}")
