--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
@@ -155,10 +155,10 @@
             workspace=workspace.name,
             rate=workspace.rate,
             burst=workspace.burst,
-            remaining=decision.remaining,
+            left=decision.remaining,
             demand=decision.demand,
-            reachable_share=decision.reachable_share,
-            unreachable_hosts=decision.unreachable_hosts,
+            part=decision.reachable_share,
+            silent=decision.unreachable_hosts,
         )
 
     def _identify(self, request, route, at):
