--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
@@ -90,7 +90,7 @@
             await self.wait()
 
 
-class Link(asyncio.Protocol):
+class TargetConnection(asyncio.Protocol):
     """
     A connection to one target.
 
@@ -281,16 +281,16 @@
     Args:
       address: The target's address.
       timeout: The most seconds that this may take.
-      on_closed: As for `Link`.
+      on_closed: As for `TargetConnection`.
     Returns:
-      A `Link`, or an `Unconnected` if there is no connection in time.
+      A `TargetConnection`, or an `Unconnected` if there is no connection in time.
     """
     ip, port = split_address(address)
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(timeout):
             _, link = await loop.create_connection(
-                lambda: Link(on_closed), ip, port, family=socket.AF_INET
+                lambda: TargetConnection(on_closed), ip, port, family=socket.AF_INET
             )
     except ConnectionRefusedError:
         return Unconnected.REFUSED
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
@@ -7,7 +7,7 @@
 """
 
 from .clock import now
-from .link import Link, connect
+from .link import TargetConnection, connect
 
 # Idle connections kept for one target. A host has few requests at one target at a
 # time; more than this would only fill the target's own bound.
@@ -39,7 +39,7 @@
           target_id: The target's life.
           idle_most: The most seconds for which it may have been idle.
         Returns:
-          A `Link`, or None if there is none that may be used.
+          A `TargetConnection`, or None if there is none that may be used.
         """
         at = now()
         kept = self._idle.get(target_id, [])
@@ -52,13 +52,13 @@
         return None
 
     async def open(self, target, timeout=CONNECT_TIMEOUT):
-        """Open a connection to a target; return a `Link`, or an `Unconnected`."""
+        """Open a connection to a target; return a `TargetConnection`, or an `Unconnected`."""
 
         def on_closed(link):
             self._drop(target.incarnation, link)
 
         link = await connect(target.address, timeout, on_closed)
-        if isinstance(link, Link) and not link.is_closed:
+        if isinstance(link, TargetConnection) and not link.is_closed:
             self._busy.setdefault(target.incarnation, set()).add(link)
         return link
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/verdict.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/verdict.py
@@ -43,7 +43,7 @@
 
     Args:
       exchange: The `Exchange`.
-      link: Its `Link`, which is closed afterwards.
+      link: Its `TargetConnection`, which is closed afterwards.
     """
 
     def __init__(self, exchange, link):
