--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
@@ -34,7 +34,7 @@
 
     Args:
       knowledge: The `Knowledge`.
-      links: The `Links`.
+      links: The `ConnectionPool`.
       metrics: The `EdgeMetrics`.
       on_ended: Called when a target has ended under a request.
     """
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
@@ -17,7 +17,7 @@
 CONNECT_TIMEOUT = 0.3
 
 
-class Links:
+class ConnectionPool:
     """The connections of one host, by life of a target."""
 
     def __init__(self):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -34,7 +34,7 @@
 from .front import Front
 from .gate import Gate
 from .knowledge import Knowledge
-from .links import Links
+from .links import ConnectionPool
 from .metrics import EdgeMetrics
 from .peers import Peers
 from .relay import Relay
@@ -88,7 +88,7 @@
         rng = random.Random(os.urandom(16))
         self.metrics = EdgeMetrics(settings.id)
         self.knowledge = Knowledge(settings, rng)
-        self.links = Links()
+        self.links = ConnectionPool()
         self._store_session = make_session()
         self.store = Store(self._store_session, f"http://{settings.store_address}")
         registry = self.knowledge.registry
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
@@ -56,7 +56,7 @@
 
     Args:
       knowledge: The `Knowledge`.
-      links: The `Links`.
+      links: The `ConnectionPool`.
       metrics: The `EdgeMetrics`.
       endings: The `Endings`.
     """
