--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
@@ -18,7 +18,7 @@
 from plumsaddle_core.ops.suspects import RunRecord
 
 from .clock import now
-from .link import Unconnected
+from .link import ConnectFailure
 
 log = logging.getLogger("endings")
 # Seconds for which an unanswered send is blamed on the end of its target. A target is
@@ -133,9 +133,9 @@
         """Find out whether a target still listens."""
         link = await self._links.open(target)
         self._metrics.connections.inc({"service": target.service})
-        if link is Unconnected.REFUSED:
+        if link is ConnectFailure.REFUSED:
             self.note_refused(target)
-        elif link is not Unconnected.SILENT:
+        elif link is not ConnectFailure.NO_RESPONSE:
             self._links.put_unused(target.incarnation, link)
             self._drop(target.incarnation)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
@@ -11,7 +11,7 @@
 
 from .endings import ASKED_FOR, ASKED_MOST, Endings
 from .knowledge import Knowledge
-from .link import Unconnected
+from .link import ConnectFailure
 from .metrics import EdgeMetrics
 
 SETTINGS = HostSettings("h", "x", ("x",), "", "", "", (), "", Bounds())
@@ -79,7 +79,7 @@
             case.endings.note_broken(case.target, key)
         await asyncio.sleep(0.01)
 
-    case = _run(Unconnected.REFUSED, act)
+    case = _run(ConnectFailure.REFUSED, act)
     assert (case.ended("a"), case.ended("b")) == (1, 1)
     # One look was enough for both.
     assert case.links.opened == 1
@@ -116,7 +116,7 @@
         case.endings.note_broken(case.target, "a")
         await asyncio.sleep(0.01)
 
-    assert _run(Unconnected.REFUSED, act).ended("a") == 0
+    assert _run(ConnectFailure.REFUSED, act).ended("a") == 0
 
 
 def test_a_request_that_was_given_up_is_blamed_when_its_target_ends_soon_after():
@@ -131,7 +131,7 @@
         assert case.endings.open_questions("slow") == 1
         case.endings.note_refused(case.target)
 
-    assert _run(Unconnected.REFUSED, act).ended("slow") == 1
+    assert _run(ConnectFailure.REFUSED, act).ended("slow") == 1
 
 
 def test_another_hosts_word_settles_a_look_that_met_silence():
@@ -143,7 +143,7 @@
         case.knowledge.shared.suspects.add(note, 0.0)
         case.endings.tick(0.0)
 
-    assert _run(Unconnected.SILENT, act).ended("a") == 1
+    assert _run(ConnectFailure.NO_RESPONSE, act).ended("a") == 1
 
 
 def test_a_restart_under_the_same_id_ends_what_ran_in_the_former_life():
@@ -167,6 +167,6 @@
             case.endings.note_unanswered(case.target, f"k{number}")
         case.endings.note_refused(case.target)
 
-    case = _run(Unconnected.REFUSED, act)
+    case = _run(ConnectFailure.REFUSED, act)
     assert case.ended("k0") == 0
     assert case.ended(f"k{2 * ASKED_MOST - 1}") == 1
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
@@ -32,7 +32,7 @@
 IDLE_MARGIN = 1.0
 
 
-class Unconnected(enum.Enum):
+class ConnectFailure(enum.Enum):
     """
     Why there is no connection to a target.
 
@@ -41,7 +41,7 @@
     """
 
     REFUSED = "refused"
-    SILENT = "silent"
+    NO_RESPONSE = "silent"
 
 
 class Exchange:
@@ -283,7 +283,7 @@
       timeout: The most seconds that this may take.
       on_closed: As for `TargetConnection`.
     Returns:
-      A `TargetConnection`, or an `Unconnected` if there is no connection in time.
+      A `TargetConnection`, or an `ConnectFailure` if there is no connection in time.
     """
     ip, port = split_address(address)
     loop = asyncio.get_running_loop()
@@ -293,9 +293,9 @@
                 lambda: TargetConnection(on_closed), ip, port, family=socket.AF_INET
             )
     except ConnectionRefusedError:
-        return Unconnected.REFUSED
+        return ConnectFailure.REFUSED
     except (TimeoutError, OSError):
-        return Unconnected.SILENT
+        return ConnectFailure.NO_RESPONSE
     return link
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
@@ -11,7 +11,7 @@
 from plumsaddle_core.core.traffic import Reply, SendOutcome
 
 from .clock import now
-from .link import Unconnected
+from .link import ConnectFailure
 from .outgoing import frame_body, make_head
 from .verdict import Rest, judge, judge_head
 
@@ -87,8 +87,8 @@
         if link is None:
             link = await self._links.open(target)
             self._metrics.connections.inc({"service": target.service})
-        if isinstance(link, Unconnected):
-            if link is Unconnected.REFUSED:
+        if isinstance(link, ConnectFailure):
+            if link is ConnectFailure.REFUSED:
                 self._endings.note_refused(target)
             return Sent(SendOutcome.UNREACHABLE, None, Connection(link.value))
         at = now()
