--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
@@ -28,7 +28,7 @@
 ASKED_MOST = 512
 
 
-class Endings:
+class CrashDetector:
     """
     The open questions of one host.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
@@ -9,7 +9,7 @@
 from plumsaddle_core.core.traffic import Bounds, HostSettings, Target, TargetState
 from plumsaddle_core.ops.suspects import RunRecord
 
-from .endings import ASKED_FOR, ASKED_MOST, Endings
+from .endings import ASKED_FOR, ASKED_MOST, CrashDetector
 from .knowledge import Knowledge
 from .link import ConnectFailure
 from .metrics import EdgeMetrics
@@ -40,13 +40,13 @@
 
 
 class Case:
-    """An `Endings` with one target that is listed."""
+    """An `CrashDetector` with one target that is listed."""
 
     def __init__(self, result):
         self.knowledge = Knowledge(SETTINGS)
         self.links = ScriptedLinks(result)
         self.told = 0
-        self.endings = Endings(
+        self.endings = CrashDetector(
             self.knowledge, self.links, EdgeMetrics("h"), self._on_ended
         )
         self.target = _target(1)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -28,7 +28,7 @@
 from ..utils.addresses import split_address
 from .callers import FrontServer
 from .clock import now
-from .endings import Endings
+from .endings import CrashDetector
 from .events import set_up_events
 from .feed import SELDOM, Feed
 from .front import Front
@@ -99,7 +99,7 @@
         )
         suspects = self.knowledge.shared.suspects
         self.stored = StoredSuspects(self.store, suspects, gate)
-        self.endings = Endings(
+        self.endings = CrashDetector(
             self.knowledge, self.links, self.metrics, self.stored.write_soon
         )
         sender = Sender(self.knowledge, self.links, self.metrics, self.endings)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -61,7 +61,7 @@
       knowledge: The `Knowledge`.
       sender: The `Sender`.
       metrics: The `EdgeMetrics`.
-      endings: The `Endings`.
+      endings: The `CrashDetector`.
     """
 
     def __init__(self, knowledge, sender, metrics, endings):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
@@ -58,7 +58,7 @@
       knowledge: The `Knowledge`.
       links: The `ConnectionPool`.
       metrics: The `EdgeMetrics`.
-      endings: The `Endings`.
+      endings: The `CrashDetector`.
     """
 
     def __init__(self, knowledge, links, metrics, endings):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
@@ -29,7 +29,7 @@
       ask: The `Ask`.
       attempt: The `Attempt`, which tells whether the request has its answer.
       knowledge: The `Knowledge`.
-      endings: The `Endings`.
+      endings: The `CrashDetector`.
     """
 
     def __init__(self, ask, attempt, knowledge, endings):
