--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/callers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/callers.py
@@ -83,7 +83,7 @@
 
     Args:
       front: The `Front`.
-      knowledge: The `Knowledge` with the limits in force.
+      knowledge: The `HostState` with the limits in force.
     """
 
     def __init__(self, front, knowledge):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
@@ -33,7 +33,7 @@
     The open questions of one host.
 
     Args:
-      knowledge: The `Knowledge`.
+      knowledge: The `HostState`.
       links: The `ConnectionPool`.
       metrics: The `EdgeMetrics`.
       on_ended: Called when a target has ended under a request.
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
@@ -10,7 +10,7 @@
 from plumsaddle_core.ops.suspects import RunRecord
 
 from .endings import ASKED_FOR, ASKED_MOST, CrashDetector
-from .knowledge import Knowledge
+from .knowledge import HostState
 from .link import ConnectFailure
 from .metrics import EdgeMetrics
 
@@ -43,7 +43,7 @@
     """An `CrashDetector` with one target that is listed."""
 
     def __init__(self, result):
-        self.knowledge = Knowledge(SETTINGS)
+        self.knowledge = HostState(SETTINGS)
         self.links = ScriptedLinks(result)
         self.told = 0
         self.endings = CrashDetector(
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
@@ -56,7 +56,7 @@
     The state of the callers' listener.
 
     Args:
-      knowledge: The `Knowledge`.
+      knowledge: The `HostState`.
       relay: The `Relay`.
       metrics: The `EdgeMetrics`.
     """
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -76,7 +76,7 @@
     return is_trial or _is_good(choice)
 
 
-class Knowledge:
+class HostState:
     """
     The state that decides what becomes of requests on one host.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
@@ -18,7 +18,7 @@
 from plumsaddle_core.ops.news import HealthSignal
 
 from .clock import now
-from .knowledge import Knowledge
+from .knowledge import HostState
 
 DEMAND = RequestProfile(RequestKind.ORDER, 0.2, 0.6, 1.5, 1.0)
 
@@ -27,7 +27,7 @@
     settings = HostSettings(
         "h", "x", ("x", "y"), "", "", "", (), "", Bounds(), None, off
     )
-    knowledge = Knowledge(settings, random.Random(1))
+    knowledge = HostState(settings, random.Random(1))
     for number in range(count):
         centre = "x" if number % 2 else "y"
         target = Target(f"t{number}", "act", "", centre, 2, TargetState.READY, 0.0, 0.0)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -33,7 +33,7 @@
 from .feed import SELDOM, Feed
 from .front import Front
 from .gate import Gate
-from .knowledge import Knowledge
+from .knowledge import HostState
 from .links import ConnectionPool
 from .metrics import EdgeMetrics
 from .peers import Peers
@@ -87,7 +87,7 @@
         self._mtime = _mtime_of(path)
         rng = random.Random(os.urandom(16))
         self.metrics = EdgeMetrics(settings.id)
-        self.knowledge = Knowledge(settings, rng)
+        self.knowledge = HostState(settings, rng)
         self.links = ConnectionPool()
         self._store_session = make_session()
         self.store = Store(self._store_session, f"http://{settings.store_address}")
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -58,7 +58,7 @@
     The relay of one host.
 
     Args:
-      knowledge: The `Knowledge`.
+      knowledge: The `HostState`.
       sender: The `Sender`.
       metrics: The `EdgeMetrics`.
       endings: The `CrashDetector`.
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
@@ -55,7 +55,7 @@
     What sends the requests of one host.
 
     Args:
-      knowledge: The `Knowledge`.
+      knowledge: The `HostState`.
       links: The `ConnectionPool`.
       metrics: The `EdgeMetrics`.
       endings: The `CrashDetector`.
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
@@ -28,7 +28,7 @@
     Args:
       ask: The `Ask`.
       attempt: The `Attempt`, which tells whether the request has its answer.
-      knowledge: The `Knowledge`.
+      knowledge: The `HostState`.
       endings: The `CrashDetector`.
     """
 
