--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
@@ -48,7 +48,7 @@
     """
     One request on a link, and what has come of its answer.
 
-    `body` holds what was received and not yet taken. `fate` is None until the answer
+    `body` holds what was received and not yet taken. `outcome` is None until the answer
     is complete (`SendOutcome.SUCCEEDED`) or has failed.
     """
 
@@ -57,7 +57,7 @@
         self.status = 0
         self.headers = []
         self.body = bytearray()
-        self.fate = None
+        self.outcome = None
         self._waiter = None
 
     @property
@@ -70,10 +70,10 @@
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
-    def finish(self, fate):
-        """Set the fate, once."""
-        if self.fate is None:
-            self.fate = fate
+    def finish(self, outcome):
+        """Set the outcome, once."""
+        if self.outcome is None:
+            self.outcome = outcome
             self.wake()
 
     async def wait(self):
@@ -86,7 +86,7 @@
 
     async def collect(self, most):
         """Wait until the answer has ended or its body is longer than `most`."""
-        while self.fate is None and len(self.body) <= most:
+        while self.outcome is None and len(self.body) <= most:
             await self.wait()
 
 
@@ -151,7 +151,7 @@
         self._is_sending = True
         exchange = self.exchange
         async for part in parts:
-            if self.is_closed or exchange.fate is not None:
+            if self.is_closed or exchange.outcome is not None:
                 return
             self.transport.write(part)
             await self._drain()
@@ -163,7 +163,7 @@
         self.used_at = now()
         if (
             exchange is None
-            or exchange.fate is not SendOutcome.SUCCEEDED
+            or exchange.outcome is not SendOutcome.SUCCEEDED
             or self._is_sending
             or self._is_spoiled
         ):
@@ -211,7 +211,7 @@
             self._is_spoiled = True
             exchange.finish(SendOutcome.BROKEN)
             return
-        if len(exchange.body) > READ_AHEAD and exchange.fate is None:
+        if len(exchange.body) > READ_AHEAD and exchange.outcome is None:
             self.transport.pause_reading()
         exchange.wake()
 
@@ -231,7 +231,7 @@
 
     def on_message_begin(self):
         self._headers = []
-        if self.exchange is None or self.exchange.fate is not None:
+        if self.exchange is None or self.exchange.outcome is not None:
             self._is_spoiled = True
 
     def on_header(self, name, value):
@@ -243,7 +243,7 @@
         echoed = _find(self._headers, b"request-id")
         is_strange = echoed is not None and echoed != exchange.request_id
         is_unsure = echoed is None and 200 <= status < 300
-        is_answered = exchange.fate is not None
+        is_answered = exchange.outcome is not None
         self._is_skipped = status < 200 or is_strange or is_unsure or is_answered
         if is_strange or is_unsure:
             self._is_spoiled = True
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
@@ -115,7 +115,7 @@
                 sending.cancel()
             else:
                 await exchange.collect(HELD_MOST)
-            if exchange.fate is None and exchange.has_head:
+            if exchange.outcome is None and exchange.has_head:
                 fate, reply = judge_head(exchange, Rest(exchange, link))
                 is_done = fate is SendOutcome.SUCCEEDED
                 # Of a long answer that is a failure nobody will read the rest.
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/verdict.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/verdict.py
@@ -9,7 +9,7 @@
 
 def judge(exchange):
     """Return the fate and the `Reply` of an exchange that has ended."""
-    if exchange.fate is not SendOutcome.SUCCEEDED:
+    if exchange.outcome is not SendOutcome.SUCCEEDED:
         return SendOutcome.BROKEN, None
     return judge_head(exchange, None)
 
@@ -54,13 +54,13 @@
         """Return the next part, b"" at the end, or None if the answer broke off."""
         exchange = self._exchange
         self._link.resume()
-        while not exchange.body and exchange.fate is None:
+        while not exchange.body and exchange.outcome is None:
             await exchange.wait()
         if exchange.body:
             part = bytes(exchange.body)
             exchange.body.clear()
             return part
-        return b"" if exchange.fate is SendOutcome.SUCCEEDED else None
+        return b"" if exchange.outcome is SendOutcome.SUCCEEDED else None
 
     def close(self):
         """Close the connection."""
