--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
@@ -84,9 +84,9 @@
         finally:
             self._waiter = None
 
-    async def collect(self, most):
-        """Wait until the answer has ended or its body is longer than `most`."""
-        while self.outcome is None and len(self.body) <= most:
+    async def read_body(self, max_bytes):
+        """Wait until the answer has ended or its body is longer than `max_bytes`."""
+        while self.outcome is None and len(self.body) <= max_bytes:
             await self.wait()
 
 
