--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
@@ -102,7 +102,7 @@
         self.transport = None
         self.exchange = None
         self.idle_limit = IDLE_DEFAULT
-        self.opened_at = self.used_at = now()
+        self.opened_at = self.last_used_at = now()
         self.is_closed = False
         self._is_spoiled = False
         self._on_closed = on_closed
@@ -123,7 +123,7 @@
           at: The present, in seconds.
           idle_most: The most seconds for which it may have been idle.
         """
-        is_fresh = at - self.used_at < min(self.idle_limit, idle_most)
+        is_fresh = at - self.last_used_at < min(self.idle_limit, idle_most)
         return not (self.is_closed or self._is_spoiled) and is_fresh
 
     def begin(self, head, request_id):
@@ -160,7 +160,7 @@
     def end(self):
         """End the exchange; the link is closed unless its answer is complete."""
         exchange, self.exchange = self.exchange, None
-        self.used_at = now()
+        self.last_used_at = now()
         if (
             exchange is None
             or exchange.outcome is not SendOutcome.SUCCEEDED
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
@@ -93,7 +93,7 @@
             return Sent(SendOutcome.UNREACHABLE, None, Connection(link.value))
         at = now()
         age = round(at - link.opened_at, 3)
-        idle = 0.0 if is_new else round(at - link.used_at, 3)
+        idle = 0.0 if is_new else round(at - link.last_used_at, 3)
         connection = Connection("new" if is_new else "kept", age, idle)
         is_late = ask.deadline <= at or ask.caller.is_gone()
         if is_late or not self._knowledge.is_usable(target):
