--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
@@ -126,7 +126,7 @@
         is_fresh = at - self.last_used_at < min(self.idle_limit, idle_most)
         return not (self.is_closed or self._is_spoiled) and is_fresh
 
-    def begin(self, head, request_id):
+    def start_exchange(self, head, request_id):
         """
         Write a request's head, with its body if that is at hand.
 
@@ -157,7 +157,7 @@
             await self._drain()
         self._is_sending = False
 
-    def end(self):
+    def end_exchange(self):
         """End the exchange; the link is closed unless its answer is complete."""
         exchange, self.exchange = self.exchange, None
         self.last_used_at = now()
@@ -169,7 +169,7 @@
         ):
             self.close()
         else:
-            self.resume()
+            self.resume_reading()
 
     def close(self):
         """Close the connection at once."""
@@ -177,7 +177,7 @@
         if self.transport is not None:
             self.transport.abort()
 
-    def resume(self):
+    def resume_reading(self):
         """Read on after the reader has taken what was ahead of it."""
         if not self.is_closed and not self.transport.is_closing():
             self.transport.resume_reading()
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
@@ -64,7 +64,7 @@
 
     def put_back(self, target_id, link):
         """Keep a connection whose exchange has ended, if it may be used again."""
-        link.end()
+        link.end_exchange()
         self.put_unused(target_id, link)
 
     def put_unused(self, target_id, link):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
@@ -105,7 +105,9 @@
     async def _talk(self, ask, target, link, suspicion):
         """Send on a connection, read the answer, and return a fate and a reply."""
         sent_at = now()
-        exchange = link.begin(make_head(ask, target, ask.deadline - sent_at), ask.id)
+        exchange = link.start_exchange(
+            make_head(ask, target, ask.deadline - sent_at), ask.id
+        )
         fate = None
         is_done = False
         try:
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/verdict.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/verdict.py
@@ -53,7 +53,7 @@
     async def read(self):
         """Return the next part, b"" at the end, or None if the answer broke off."""
         exchange = self._exchange
-        self._link.resume()
+        self._link.resume_reading()
         while not exchange.body and exchange.outcome is None:
             await exchange.wait()
         if exchange.body:
