--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
@@ -24,7 +24,7 @@
         self._idle = {}
         self._busy = {}
 
-    def has(self, target_id, idle_most):
+    def has_idle(self, target_id, idle_most):
         """Return whether `take` would return a connection."""
         at = now()
         return any(
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
@@ -69,7 +69,7 @@
 
     def has_link(self, ask, life):
         """Return whether there is a kept connection for a request to a target."""
-        return self._links.has(life, _idle_most(ask))
+        return self._links.has_idle(life, _idle_most(ask))
 
     async def send(self, ask, target, suspicion):
         """
