--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
@@ -25,13 +25,13 @@
         self._busy = {}
 
     def has_idle(self, target_id, idle_most):
-        """Return whether `take` would return a connection."""
+        """Return whether `acquire` would return a connection."""
         at = now()
         return any(
             link.is_reusable(at, idle_most) for link in self._idle.get(target_id, ())
         )
 
-    def take(self, target_id, idle_most):
+    def acquire(self, target_id, idle_most):
         """
         Take an idle connection to a target.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
@@ -82,7 +82,7 @@
         Returns:
           A `Sent`.
         """
-        link = self._links.take(target.incarnation, _idle_most(ask))
+        link = self._links.acquire(target.incarnation, _idle_most(ask))
         is_new = link is None
         if link is None:
             link = await self._links.open(target)
