--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
@@ -62,7 +62,7 @@
             self._busy.setdefault(target.incarnation, set()).add(link)
         return link
 
-    def put_back(self, target_id, link):
+    def release(self, target_id, link):
         """Keep a connection whose exchange has ended, if it may be used again."""
         link.end_exchange()
         self.put_unused(target_id, link)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
@@ -131,7 +131,7 @@
                     target, exchange.headers, fate, sent_at, ask.id
                 )
             if not is_done:
-                self._links.put_back(target.incarnation, link)
+                self._links.release(target.incarnation, link)
 
 
 def _idle_most(ask):
