--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
@@ -136,7 +136,7 @@
         if link is ConnectFailure.REFUSED:
             self.note_refused(target)
         elif link is not ConnectFailure.NO_RESPONSE:
-            self._links.put_unused(target.incarnation, link)
+            self._links.release_unused(target.incarnation, link)
             self._drop(target.incarnation)
 
     def _drop(self, life):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
@@ -31,7 +31,7 @@
         await asyncio.sleep(0)
         return self.result
 
-    def put_unused(self, life, link):
+    def release_unused(self, life, link):
         self.kept.append(life)
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
@@ -65,9 +65,9 @@
     def release(self, target_id, link):
         """Keep a connection whose exchange has ended, if it may be used again."""
         link.end_exchange()
-        self.put_unused(target_id, link)
+        self.release_unused(target_id, link)
 
-    def put_unused(self, target_id, link):
+    def release_unused(self, target_id, link):
         """Keep a connection on which nothing is under way, if it may be used."""
         self._let_go(target_id, link)
         if not link.is_reusable(now()):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
@@ -97,7 +97,7 @@
         connection = Connection("new" if is_new else "kept", age, idle)
         is_late = ask.deadline <= at or ask.caller.is_gone()
         if is_late or not self._knowledge.is_usable(target):
-            self._links.put_unused(target.incarnation, link)
+            self._links.release_unused(target.incarnation, link)
             return Sent(SendOutcome.UNSENT, None, connection)
         fate, reply = await self._talk(ask, target, link, suspicion)
         return Sent(fate, reply, connection, ask.rest is not None)
