--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
@@ -78,7 +78,7 @@
         if len(kept) > KEPT_MOST:
             kept.pop(0).close()
 
-    def close_old(self, known):
+    def close_expired(self, known):
         """
         Close connections that are too old or whose target is gone.
 
