--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
@@ -94,7 +94,7 @@
             if not kept:
                 self._idle.pop(target_id, None)
 
-    def end_life(self, target_id):
+    def close_incarnation(self, target_id):
         """
         Close all connections to a life of a target that has ended.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -185,7 +185,7 @@
     def _end_life(self, life):
         """Take it that a target has started again, so that its former life is over."""
         self.endings.note_restarted(life)
-        self.links.end_life(life)
+        self.links.close_incarnation(life)
 
     def _on_stop(self):
         log.info("stop", extra={"in_flight": self.front.in_flight})
