--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
@@ -105,7 +105,7 @@
         for link in (*self._idle.pop(target_id, ()), *self._busy.pop(target_id, ())):
             link.close()
 
-    def close(self):
+    def close_idle(self):
         """Close all idle connections."""
         for kept in self._idle.values():
             for link in kept:
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -218,7 +218,7 @@
             server.close()
         self._callers.close_idle()
         self.peers.close()
-        self.links.close()
+        self.links.close_idle()
         await self._store_session.close()
 
     async def _beat(self):
