--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
@@ -95,7 +95,7 @@
         self._blame(life, self._drop(life))
 
     @property
-    def has_questions(self):
+    def has_unresolved(self):
         """Whether it is open of any target if it has ended."""
         return bool(self._asked)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
@@ -71,7 +71,7 @@
 
     def _count_ends(self):
         """Return how many targets have, or may have, ended under the request."""
-        has_any = len(self._suspects) or self._endings.has_questions
+        has_any = len(self._suspects) or self._endings.has_unresolved
         if self._is_off or not has_any:
             return 0
         return self.lives + self._endings.open_questions(self.key)
