--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
@@ -99,7 +99,7 @@
         """Whether it is open of any target if it has ended."""
         return bool(self._asked)
 
-    def open_questions(self, key):
+    def unresolved_count(self, key):
         """Return how many targets may have ended under a request, not yet known."""
         return sum(1 for _, asked in self._asked if asked == key)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
@@ -128,7 +128,7 @@
 
     async def act(case):
         case.endings.note_unanswered(case.target, "slow")
-        assert case.endings.open_questions("slow") == 1
+        assert case.endings.unresolved_count("slow") == 1
         case.endings.note_refused(case.target)
 
     assert _run(ConnectFailure.REFUSED, act).ended("slow") == 1
@@ -162,7 +162,7 @@
     async def act(case):
         case.endings.note_unanswered(case.target, "old")
         case.endings.tick(1e9 + ASKED_FOR)
-        assert case.endings.open_questions("old") == 0
+        assert case.endings.unresolved_count("old") == 0
         for number in range(2 * ASKED_MOST):
             case.endings.note_unanswered(case.target, f"k{number}")
         case.endings.note_refused(case.target)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
@@ -74,7 +74,7 @@
         has_any = len(self._suspects) or self._endings.has_unresolved
         if self._is_off or not has_any:
             return 0
-        return self.lives + self._endings.open_questions(self.key)
+        return self.lives + self._endings.unresolved_count(self.key)
 
     def note_send(self, target, exchange, fate):
         """
