--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
@@ -120,7 +120,9 @@
         if size > cfg.limits.header_bytes:
             return self._refuse(request, Cause.HEADERS_TOO_LARGE)
         route = find_route(
-            self._knowledge.table, request.headers.get("Host", ""), request.raw_path
+            self._knowledge.route_table,
+            request.headers.get("Host", ""),
+            request.raw_path,
         )
         if route is None:
             return self._refuse(request, Cause.NO_ROUTE)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -89,7 +89,7 @@
         self.settings = settings
         self.rng = rng
         self.cfg = None
-        self.table = {}
+        self.route_table = {}
         self.keys = {}
         self._ranks = {}
         self.registry = Registry()
@@ -160,7 +160,7 @@
             log.info("old version", extra={"version": cfg.version, "in_force": former})
             return
         self.cfg = cfg
-        self.table = build_route_table(cfg.routes)
+        self.route_table = build_route_table(cfg.routes)
         self.keys, shared = index_keys(cfg.workspaces)
         for digest in shared:
             log.error("shared key", extra={"key": short_digest(digest)})
