--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
@@ -175,7 +175,7 @@
             return None, None
         key = read_key(request.raw_headers)
         digest = None if key is None else digest_of(key)
-        workspace = self._knowledge.keys.get(digest)
+        workspace = self._knowledge.workspaces_by_key.get(digest)
         if workspace is not None or route.is_public:
             return workspace, None
         fields = {"key": short_digest(digest) if digest else None}
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -90,7 +90,7 @@
         self.rng = rng
         self.cfg = None
         self.route_table = {}
-        self.keys = {}
+        self.workspaces_by_key = {}
         self._ranks = {}
         self.registry = Registry()
         self.has_targets = False
@@ -161,7 +161,7 @@
             return
         self.cfg = cfg
         self.route_table = build_route_table(cfg.routes)
-        self.keys, shared = index_keys(cfg.workspaces)
+        self.workspaces_by_key, shared = index_keys(cfg.workspaces)
         for digest in shared:
             log.error("shared key", extra={"key": short_digest(digest)})
         self.shared.quotas.configure(cfg.workspaces, now())
