--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
@@ -179,7 +179,7 @@
         if workspace is not None or route.is_public:
             return workspace, None
         fields = {"key": short_digest(digest) if digest else None}
-        age = self._knowledge.age(at)
+        age = self._knowledge.configuration_age(at)
         fields["age"] = round(age, 2)
         if key is None or age <= self._knowledge.settings.bounds.apply:
             return None, self._refuse(request, Cause.UNKNOWN_KEY, **fields)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -120,7 +120,7 @@
         self._trials = Trials()
         self._on_work = None
         self._on_ended = None
-        self.age = lambda at: math.inf
+        self.configuration_age = lambda at: math.inf
 
     def subscribe(self, on_work, on_ended, age):
         """
@@ -135,7 +135,7 @@
         """
         self._on_work = on_work
         self._on_ended = on_ended
-        self.age = age
+        self.configuration_age = age
 
     @property
     def is_complete(self):
