--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -144,7 +144,7 @@
 
     # What the feeds bring.
 
-    def take_operator_records(self, page):
+    def apply_operator_records(self, page):
         """Take the operators' records of a `Page`."""
         for record in page.records:
             if record.key == wire.CONFIGURATION_KEY and record.value is not None:
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -111,8 +111,8 @@
                 self.store,
                 wire.OPERATOR_TOPIC,
                 gate,
-                self.knowledge.take_operator_records,
-                self.knowledge.take_operator_records,
+                self.knowledge.apply_operator_records,
+                self.knowledge.apply_operator_records,
                 rng,
             ),
             Feed(
