--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -174,7 +174,7 @@
         self._answer_bytes = kept
         log.info("version", extra={"version": cfg.version, "former": former})
 
-    def take_target_listing(self, page):
+    def apply_target_listing(self, page):
         """Take a full listing of the targets."""
         at = now()
         names = {record.key for record in page.records if record.value is not None}
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -119,7 +119,7 @@
                 self.store,
                 wire.TARGETS_TOPIC,
                 gate,
-                self.knowledge.take_target_listing,
+                self.knowledge.apply_target_listing,
                 self.knowledge.take_target_changes,
                 rng,
             ),
