--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -181,7 +181,7 @@
         self._take_targets(page, at, self.registry.missing(names, page.next_offset))
         self.has_targets = True
 
-    def take_target_changes(self, page):
+    def apply_target_changes(self, page):
         """Take changes to the list of targets."""
         self._take_targets(page, now(), {})
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -120,7 +120,7 @@
                 wire.TARGETS_TOPIC,
                 gate,
                 self.knowledge.apply_target_listing,
-                self.knowledge.take_target_changes,
+                self.knowledge.apply_target_changes,
                 rng,
             ),
             Feed(
