--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -361,7 +361,7 @@
             self.limits.wait(target, at),
         )
 
-    def demand(self, route, service, started, deadline, kilobytes, at):
+    def request_profile(self, route, service, started, deadline, kilobytes, at):
         """Return the `RequestProfile` of a request by now."""
         return RequestProfile(
             route.kind,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -324,7 +324,7 @@
         at = now()
         answer_bytes = self._knowledge.answer_bytes(ask.route)
         kilobytes = ((ask.length or 0) + answer_bytes) / 1024
-        demand = self._knowledge.demand(
+        demand = self._knowledge.request_profile(
             ask.route, ask.service, ask.started, ask.deadline, kilobytes, at
         )
         excluded = self._excluded | set(self._attempt.targets)
