--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -401,7 +401,7 @@
 
     # What the relay tells.
 
-    def start(self, target):
+    def note_send_start(self, target):
         """Count a send that starts."""
         self.shared.note_send_start(target.incarnation, now())
         self.limits.acquire(target, now())
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -364,7 +364,7 @@
                 "version": self._knowledge.cfg.version,
             },
         )
-        self._knowledge.start(target)
+        self._knowledge.note_send_start(target)
         wait = choice.candidate.wait
         self._hedge_at = at + wait + _slow_after(HEDGE_FACTOR, choice)
         if wait:
