--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -407,7 +407,7 @@
         self.limits.acquire(target, now())
         self._tell(is_urgent=False)
 
-    def end(self, target):
+    def note_send_end(self, target):
         """Count a send that ended."""
         self.shared.note_send_end(target.incarnation)
         self._tell(is_urgent=False)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -389,7 +389,7 @@
             may_send = limits.has_share(target, now())
         finally:
             if not may_send:
-                self._knowledge.end(target)
+                self._knowledge.note_send_end(target)
                 limits.release(target)
         if not may_send:
             return Result(target, SendOutcome.UNSENT, None, choice.candidate.wait)
@@ -419,7 +419,7 @@
             self._has_begun_rest = self._has_begun_rest or sent.has_begun_rest
             is_stuck = stuck.when() <= asyncio.get_running_loop().time()
             stuck.cancel()
-            self._knowledge.end(target)
+            self._knowledge.note_send_end(target)
             if fate in NOT_SENT:
                 self._attempt.undo_send(target.id)
                 self._knowledge.limits.release(target)
