--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -412,7 +412,7 @@
         self.shared.note_send_end(target.incarnation)
         self._tell(is_urgent=False)
 
-    def note(self, target, route, fate, seconds):
+    def note_outcome(self, target, route, fate, seconds):
         """Take the fate of a send, or of one that is unanswered for too long."""
         if fate is SendOutcome.NOT_RUN and not self._has_room(target):
             return
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -434,7 +434,7 @@
             )
             work = seconds if has_waits else seconds / choice.slowdown
             if not is_stuck:
-                self._knowledge.note(target, self._ask.route, fate, work)
+                self._knowledge.note_outcome(target, self._ask.route, fate, work)
             elif fate is SendOutcome.SUCCEEDED:
                 self._knowledge.note_late_answer(target, self._ask.route, work)
         if fate is not SendOutcome.SUCCEEDED:
@@ -443,7 +443,9 @@
 
     def _note_stuck(self, choice):
         target = choice.candidate.target
-        self._knowledge.note(target, self._ask.route, SendOutcome.TIMED_OUT, 0.0)
+        self._knowledge.note_outcome(
+            target, self._ask.route, SendOutcome.TIMED_OUT, 0.0
+        )
         log.info(
             "stuck",
             extra={
