--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
@@ -40,7 +40,7 @@
 
 
 class Case:
-    """An `CrashDetector` with one target that is listed."""
+    """A `CrashDetector` with one target that is listed."""
 
     def __init__(self, result):
         self.knowledge = HostState(SETTINGS)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
@@ -283,7 +283,7 @@
       timeout: The most seconds that this may take.
       on_closed: As for `TargetConnection`.
     Returns:
-      A `TargetConnection`, or an `ConnectFailure` if there is no connection in time.
+      A `TargetConnection`, or a `ConnectFailure` if there is no connection in time.
     """
     ip, port = split_address(address)
     loop = asyncio.get_running_loop()
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
@@ -52,7 +52,7 @@
         return None
 
     async def open(self, target, timeout=CONNECT_TIMEOUT):
-        """Open a connection to a target; return a `TargetConnection`, or an `ConnectFailure`."""
+        """Return a new `TargetConnection` to a target, or a `ConnectFailure`."""
 
         def on_closed(link):
             self._drop(target.incarnation, link)
