--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
@@ -1,14 +1,14 @@
 """
-One connection to a target, which carries one request at a time.
+A connection to a target, which carries one request at a time.
 
-A kept connection saves the target a handshake, but it can hand a caller the answer of
-somebody else: targets at times send a second answer late, where the next one is
-expected. Each answer echoes the id of its request, so an answer with another id is
-skipped and reading goes on. A connection on which anything came out of turn, whose
-request was given up, or whose answer came before its request was out is closed.
+Reusing a connection saves a handshake, but could deliver a response to the wrong
+caller: some targets send a second response to a request late, where the response to
+the next request is expected. Each response echoes the id of its request, and responses
+with another id are skipped. A connection is closed if data arrived out of turn, if its
+request was abandoned, or if the response arrived before the whole request was sent.
 
-An answer is complete only when its framing says so. One without a length ends with
-its connection, and counts as complete only if that was closed and not reset.
+A response is complete only when its framing says so. One without a length is ended by
+the close of the connection, and is complete only if that was closed and not reset.
 """
 
 import asyncio
@@ -23,21 +23,22 @@
 from ..utils.addresses import split_address
 from .clock import now
 
-# Bytes that a target may send ahead of a reader before its connection is paused.
-READ_AHEAD = 65536
-# How long a kept connection is trusted when the target names no time.
-IDLE_DEFAULT = 3.0
-# Kept back from the time that a target names: its clock starts when it has sent the
-# answer, and a request needs time on the way.
-IDLE_MARGIN = 1.0
+# Unread body bytes beyond which reading from the connection is paused.
+MAX_READ_AHEAD = 65536
+# Seconds for which an idle connection is reused if the target sends no `Keep-Alive`
+# timeout.
+DEFAULT_IDLE_TIMEOUT = 3.0
+# Subtracted from the timeout that a target sends, in seconds: it counts from when the
+# target sent its response, and the next request takes time to arrive.
+IDLE_TIMEOUT_MARGIN = 1.0
 
 
 class ConnectFailure(enum.Enum):
     """
-    Why there is no connection to a target.
+    Why no connection to a target could be opened.
 
-    One that is refused tells that nobody listens at the address: the process that did
-    has ended. Silence may as well be a link that is cut or a queue that is full.
+    A refusal means that no process listens at the address any more. No response may
+    also mean a broken network path or a full accept queue.
     """
 
     REFUSED = "refused"
@@ -46,10 +47,10 @@
 
 class Exchange:
     """
-    One request on a link, and what has come of its answer.
+    One request on a connection, and as much of its response as has arrived.
 
-    `body` holds what was received and not yet taken. `outcome` is None until the answer
-    is complete (`SendOutcome.SUCCEEDED`) or has failed.
+    `body` holds the bytes that were received and not yet consumed. `outcome` is None
+    until the response is complete (`SendOutcome.SUCCEEDED`) or has failed.
     """
 
     def __init__(self, request_id):
@@ -62,22 +63,22 @@
 
     @property
     def has_head(self):
-        """Whether the status and all headers have come."""
+        """Whether the status and all headers have arrived."""
         return self.status != 0
 
     def wake(self):
-        """Wake whoever waits for a change."""
+        """Wake the task in `wait`, if there is one."""
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
     def finish(self, outcome):
-        """Set the outcome, once."""
+        """Set the outcome, unless it is already set."""
         if self.outcome is None:
             self.outcome = outcome
             self.wake()
 
     async def wait(self):
-        """Wait until more has come or the exchange has ended."""
+        """Wait until more data has arrived or the exchange has ended."""
         self._waiter = asyncio.get_running_loop().create_future()
         try:
             await self._waiter
@@ -85,7 +86,7 @@
             self._waiter = None
 
     async def read_body(self, max_bytes):
-        """Wait until the answer has ended or its body is longer than `max_bytes`."""
+        """Wait until the response has ended or its body exceeds `max_bytes`."""
         while self.outcome is None and len(self.body) <= max_bytes:
             await self.wait()
 
@@ -95,129 +96,129 @@
     A connection to one target.
 
     Args:
-      on_closed: Called with the link when its connection is gone.
+      on_closed: Called with the `TargetConnection` when it has been closed.
     """
 
     def __init__(self, on_closed):
         self.transport = None
         self.exchange = None
-        self.idle_limit = IDLE_DEFAULT
+        self.idle_timeout = DEFAULT_IDLE_TIMEOUT
         self.opened_at = self.last_used_at = now()
         self.is_closed = False
-        self._is_spoiled = False
+        self._must_close = False
         self._on_closed = on_closed
         self._parser = httptools.HttpResponseParser(self)
         self._headers = []
-        self._is_skipped = False
-        self._is_until_end = False
+        self._ignores_response = False
+        self._ends_at_eof = False
         self._is_sending = False
-        self._can_write = None
+        self._write_waiter = None
 
-    # What the owner calls.
+    # Called by the owner.
 
-    def is_reusable(self, at, idle_most=math.inf):
+    def is_reusable(self, at, max_idle=math.inf):
         """
-        Return whether the next request may go out on this connection.
+        Return whether the next request may be sent on this connection.
 
         Args:
-          at: The present, in seconds.
-          idle_most: The most seconds for which it may have been idle.
+          at: The current time, in seconds.
+          max_idle: The longest time it may have been idle, in seconds.
         """
-        is_fresh = at - self.last_used_at < min(self.idle_limit, idle_most)
-        return not (self.is_closed or self._is_spoiled) and is_fresh
+        is_fresh = at - self.last_used_at < min(self.idle_timeout, max_idle)
+        return not (self.is_closed or self._must_close) and is_fresh
 
     def start_exchange(self, head, request_id):
         """
-        Write a request's head, with its body if that is at hand.
+        Send a request's head, along with its body if that was read completely.
 
         Args:
-          head: The bytes.
-          request_id: The id that the answer must echo, as bytes.
+          head: The bytes to send.
+          request_id: The id that the response must echo, as bytes.
         Returns:
           The `Exchange`.
         """
-        assert self.exchange is None, "a link carries one request at a time"
+        assert self.exchange is None, "a connection carries one request at a time"
         self.exchange = Exchange(request_id)
         self.transport.write(head)
         return self.exchange
 
-    async def send_body(self, parts):
+    async def send_body(self, chunks):
         """
-        Write a body part by part, as fast as the target takes it.
+        Send a body chunk by chunk, at the rate at which the target reads it.
 
         Args:
-          parts: An asynchronous iterator of bytes, framed already.
+          chunks: An asynchronous iterator of bytes that are already framed.
         """
         self._is_sending = True
         exchange = self.exchange
-        async for part in parts:
+        async for chunk in chunks:
             if self.is_closed or exchange.outcome is not None:
                 return
-            self.transport.write(part)
+            self.transport.write(chunk)
             await self._drain()
         self._is_sending = False
 
     def end_exchange(self):
-        """End the exchange; the link is closed unless its answer is complete."""
+        """End the exchange, and close the connection unless it can be reused."""
         exchange, self.exchange = self.exchange, None
         self.last_used_at = now()
         if (
             exchange is None
             or exchange.outcome is not SendOutcome.SUCCEEDED
             or self._is_sending
-            or self._is_spoiled
+            or self._must_close
         ):
             self.close()
         else:
             self.resume_reading()
 
     def close(self):
-        """Close the connection at once."""
+        """Close the connection without sending what is buffered."""
         self.is_closed = True
         if self.transport is not None:
             self.transport.abort()
 
     def resume_reading(self):
-        """Read on after the reader has taken what was ahead of it."""
+        """Resume reading after the buffered body was consumed."""
         if not self.is_closed and not self.transport.is_closing():
             self.transport.resume_reading()
 
     async def _drain(self):
-        if self._can_write is not None:
-            await self._can_write
+        if self._write_waiter is not None:
+            await self._write_waiter
 
-    # What the event loop calls.
+    # Called by the event loop.
 
     def connection_made(self, transport):
         self.transport = transport
 
     def pause_writing(self):
-        self._can_write = asyncio.get_running_loop().create_future()
+        self._write_waiter = asyncio.get_running_loop().create_future()
 
     def resume_writing(self):
-        waiter, self._can_write = self._can_write, None
+        waiter, self._write_waiter = self._write_waiter, None
         if waiter is not None and not waiter.done():
             waiter.set_result(None)
 
     def data_received(self, data):
         if self.exchange is None:
-            # Nobody asked for these bytes, so nobody may get them.
+            # Data without a request must not become part of the next response.
             self.close()
             return
         exchange = self.exchange
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
-            self._is_spoiled = True
+            self._must_close = True
             exchange.finish(SendOutcome.BROKEN)
             return
-        if len(exchange.body) > READ_AHEAD and exchange.outcome is None:
+        if len(exchange.body) > MAX_READ_AHEAD and exchange.outcome is None:
             self.transport.pause_reading()
         exchange.wake()
 
     def eof_received(self):
-        self._is_spoiled = True
-        if self._is_until_end and self.exchange is not None:
+        self._must_close = True
+        if self._ends_at_eof and self.exchange is not None:
             self.exchange.finish(SendOutcome.SUCCEEDED)
 
     def connection_lost(self, exc):
@@ -227,12 +228,12 @@
             self.exchange.finish(SendOutcome.BROKEN)
         self._on_closed(self)
 
-    # What the parser calls.
+    # Called by the parser.
 
     def on_message_begin(self):
         self._headers = []
         if self.exchange is None or self.exchange.outcome is not None:
-            self._is_spoiled = True
+            self._must_close = True
 
     def on_header(self, name, value):
         self._headers.append((name, value))
@@ -240,38 +241,42 @@
     def on_headers_complete(self):
         exchange = self.exchange
         status = self._parser.get_status_code()
-        echoed = _find(self._headers, b"request-id")
-        is_strange = echoed is not None and echoed != exchange.request_id
-        is_unsure = echoed is None and 200 <= status < 300
-        is_answered = exchange.outcome is not None
-        self._is_skipped = status < 200 or is_strange or is_unsure or is_answered
-        if is_strange or is_unsure:
-            self._is_spoiled = True
-        self._is_until_end = not self._is_skipped and _is_unframed(self._headers)
-        if not self._is_skipped:
+        echoed = _find_header(self._headers, b"request-id")
+        is_mismatched = echoed is not None and echoed != exchange.request_id
+        is_unidentified = echoed is None and 200 <= status < 300
+        is_finished = exchange.outcome is not None
+        self._ignores_response = (
+            status < 200 or is_mismatched or is_unidentified or is_finished
+        )
+        if is_mismatched or is_unidentified:
+            self._must_close = True
+        self._ends_at_eof = not self._ignores_response and _is_delimited_by_close(
+            self._headers
+        )
+        if not self._ignores_response:
             exchange.status = status
             exchange.headers = self._headers
-            self._note_idle_limit()
+            self._update_idle_timeout()
 
     def on_body(self, data):
-        if not self._is_skipped:
+        if not self._ignores_response:
             self.exchange.body += data
 
     def on_message_complete(self):
         if not self._parser.should_keep_alive():
-            self._is_spoiled = True
-        if not self._is_skipped:
+            self._must_close = True
+        if not self._ignores_response:
             self.exchange.finish(SendOutcome.SUCCEEDED)
 
-    def _note_idle_limit(self):
-        """Learn for how long the target keeps idle connections."""
-        named = _find(self._headers, b"keep-alive")
-        if named is None:
+    def _update_idle_timeout(self):
+        """Apply the timeout of the target's `Keep-Alive` header."""
+        keep_alive = _find_header(self._headers, b"keep-alive")
+        if keep_alive is None:
             return
-        for part in named.split(b","):
-            name, _, value = part.strip().partition(b"=")
+        for parameter in keep_alive.split(b","):
+            name, _, value = parameter.strip().partition(b"=")
             if name.lower() == b"timeout" and value.isdigit():
-                self.idle_limit = max(0.0, int(value) - IDLE_MARGIN)
+                self.idle_timeout = max(0.0, int(value) - IDLE_TIMEOUT_MARGIN)
 
 
 async def connect(address, timeout, on_closed):
@@ -280,26 +285,26 @@
 
     Args:
       address: The target's address.
-      timeout: The most seconds that this may take.
+      timeout: The timeout, in seconds.
       on_closed: As for `TargetConnection`.
     Returns:
-      A `TargetConnection`, or a `ConnectFailure` if there is no connection in time.
+      A `TargetConnection`, or a `ConnectFailure` if none was opened in time.
     """
     ip, port = split_address(address)
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(timeout):
-            _, link = await loop.create_connection(
+            _, connection = await loop.create_connection(
                 lambda: TargetConnection(on_closed), ip, port, family=socket.AF_INET
             )
     except ConnectionRefusedError:
         return ConnectFailure.REFUSED
     except (TimeoutError, OSError):
         return ConnectFailure.NO_RESPONSE
-    return link
+    return connection
 
 
-def _find(headers, name):
+def _find_header(headers, name):
     """Return the value of a header, or None."""
     for key, value in headers:
         if key.lower() == name:
@@ -307,8 +312,8 @@
     return None
 
 
-def _is_unframed(headers):
-    """Return whether only the end of its connection ends an answer."""
-    has_length = _find(headers, b"content-length") is not None
-    encoding = _find(headers, b"transfer-encoding") or b""
+def _is_delimited_by_close(headers):
+    """Return whether a response ends only when its connection is closed."""
+    has_length = _find_header(headers, b"content-length") is not None
+    encoding = _find_header(headers, b"transfer-encoding") or b""
     return not has_length and b"chunked" not in encoding.lower()
