--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -324,7 +324,7 @@
         """
         ask = self._ask
         at = now()
-        answer_bytes = self._knowledge.typical_answer_bytes(ask.route)
+        answer_bytes = self._knowledge.typical_response_bytes(ask.route)
         kilobytes = ((ask.length or 0) + answer_bytes) / 1024
         demand = self._knowledge.request_profile(
             ask.route, ask.service, ask.started, ask.deadline, kilobytes, at
