--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -375,7 +375,7 @@
         """Return the usual size of a route's answers, in bytes."""
         return self._answer_bytes.get(route.name, ANSWER_AT_FIRST)
 
-    def note_answer_size(self, route, size):
+    def note_response_size(self, route, size):
         """Take the size of a whole answer, in bytes."""
         former = self.typical_response_bytes(route)
         self._answer_bytes[route.name] = former + ANSWER_PART * (size - former)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -165,7 +165,7 @@
                 self._sends.discard(task)
                 result = task.result()
                 if result.fate is SendOutcome.SUCCEEDED:
-                    self._knowledge.note_answer_size(
+                    self._knowledge.note_response_size(
                         self._ask.route, len(result.reply.body)
                     )
                     return self._log_answer(result)
