--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -437,7 +437,7 @@
         if self.shared.suspects.add(note, now(), is_own=True):
             self._tell(is_urgent=True)
 
-    def note_late_answer(self, target, route, seconds):
+    def note_late_response(self, target, route, seconds):
         """Take a whole answer to a send that was noted as unanswered for too long."""
         self._note(target, route, HealthSignal.LATE, seconds)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -436,7 +436,7 @@
             if not is_stuck:
                 self._knowledge.note_outcome(target, self._ask.route, fate, work)
             elif fate is SendOutcome.SUCCEEDED:
-                self._knowledge.note_late_answer(target, self._ask.route, work)
+                self._knowledge.note_late_response(target, self._ask.route, work)
         if fate is not SendOutcome.SUCCEEDED:
             self._log_failure(target, sent._replace(fate=fate), seconds)
         return Result(target, fate, sent.reply, seconds)
