--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
@@ -1,128 +1,131 @@
 """
-The kept connections of a host, by target.
+The pool of a host's connections to targets.
 
-The connection used last is taken first, so that the others grow old and are closed
-here before the target closes them: a request sent at the moment of such a close is
-lost, and an order among them cannot be sent again.
+The connection used most recently is reused first, so that the others reach their idle
+timeout here and are closed before the target closes them: a request sent just as the
+target closes its connection is lost, and an order among them can't be sent again.
 """
 
 from .clock import now
 from .link import TargetConnection, connect
 
-# Idle connections kept for one target. A host has few requests at one target at a
-# time; more than this would only fill the target's own bound.
-KEPT_MOST = 8
-# Inside a data centre a connection takes a millisecond or two. A target that needs
-# longer is dead, cut off or overwhelmed; another one is a better choice than waiting.
+# More idle connections would use up the target's own connection limit for nothing, as a
+# host has only a few requests in flight at one target.
+MAX_IDLE_PER_TARGET = 8
+# Seconds. Far longer than a connection takes inside a data centre, so a target that
+# exceeds it is down, unreachable or overloaded.
 CONNECT_TIMEOUT = 0.3
 
 
 class ConnectionPool:
-    """The connections of one host, by life of a target."""
+    """The connections of one host, by target incarnation."""
 
     def __init__(self):
         self._idle = {}
         self._busy = {}
 
-    def has_idle(self, target_id, idle_most):
+    def has_idle(self, incarnation, max_idle):
         """Return whether `acquire` would return a connection."""
         at = now()
         return any(
-            link.is_reusable(at, idle_most) for link in self._idle.get(target_id, ())
+            connection.is_reusable(at, max_idle)
+            for connection in self._idle.get(incarnation, ())
         )
 
-    def acquire(self, target_id, idle_most):
+    def acquire(self, incarnation, max_idle):
         """
-        Take an idle connection to a target.
+        Take an idle connection to a target out of the pool.
 
         Args:
-          target_id: The target's life.
-          idle_most: The most seconds for which it may have been idle.
+          incarnation: The target's incarnation.
+          max_idle: The longest time it may have been idle, in seconds.
         Returns:
-          A `TargetConnection`, or None if there is none that may be used.
+          A `TargetConnection`, or None if none is reusable.
         """
         at = now()
-        kept = self._idle.get(target_id, [])
-        while kept:
-            link = kept.pop()
-            if link.is_reusable(at, idle_most):
-                self._busy.setdefault(target_id, set()).add(link)
-                return link
-            link.close()
+        idle = self._idle.get(incarnation, [])
+        while idle:
+            connection = idle.pop()
+            if connection.is_reusable(at, max_idle):
+                self._busy.setdefault(incarnation, set()).add(connection)
+                return connection
+            connection.close()
         return None
 
     async def open(self, target, timeout=CONNECT_TIMEOUT):
         """Return a new `TargetConnection` to a target, or a `ConnectFailure`."""
 
-        def on_closed(link):
-            self._drop(target.incarnation, link)
+        def on_closed(connection):
+            self._remove(target.incarnation, connection)
 
-        link = await connect(target.address, timeout, on_closed)
-        if isinstance(link, TargetConnection) and not link.is_closed:
-            self._busy.setdefault(target.incarnation, set()).add(link)
-        return link
+        connection = await connect(target.address, timeout, on_closed)
+        if isinstance(connection, TargetConnection) and not connection.is_closed:
+            self._busy.setdefault(target.incarnation, set()).add(connection)
+        return connection
 
-    def release(self, target_id, link):
-        """Keep a connection whose exchange has ended, if it may be used again."""
-        link.end_exchange()
-        self.release_unused(target_id, link)
+    def release(self, incarnation, connection):
+        """End a connection's exchange, and pool the connection if it is reusable."""
+        connection.end_exchange()
+        self.release_unused(incarnation, connection)
 
-    def release_unused(self, target_id, link):
-        """Keep a connection on which nothing is under way, if it may be used."""
-        self._let_go(target_id, link)
-        if not link.is_reusable(now()):
-            link.close()
+    def release_unused(self, incarnation, connection):
+        """Pool a connection without an exchange, if it is reusable."""
+        self._remove_busy(incarnation, connection)
+        if not connection.is_reusable(now()):
+            connection.close()
             return
-        kept = self._idle.setdefault(target_id, [])
-        kept.append(link)
-        if len(kept) > KEPT_MOST:
-            kept.pop(0).close()
+        idle = self._idle.setdefault(incarnation, [])
+        idle.append(connection)
+        if len(idle) > MAX_IDLE_PER_TARGET:
+            idle.pop(0).close()
 
-    def close_expired(self, known):
+    def close_expired(self, listed):
         """
-        Close connections that are too old or whose target is gone.
+        Close idle connections that timed out or whose target is no longer listed.
 
         Args:
-          known: The lives of all listed targets.
+          listed: The incarnations of all listed targets.
         """
         at = now()
-        for target_id, kept in list(self._idle.items()):
-            for link in list(kept):
-                if target_id not in known or not link.is_reusable(at):
-                    kept.remove(link)
-                    link.close()
-            if not kept:
-                self._idle.pop(target_id, None)
-
-    def close_incarnation(self, target_id):
+        for incarnation, idle in list(self._idle.items()):
+            for connection in list(idle):
+                if incarnation not in listed or not connection.is_reusable(at):
+                    idle.remove(connection)
+                    connection.close()
+            if not idle:
+                self._idle.pop(incarnation, None)
+
+    def close_incarnation(self, incarnation):
         """
-        Close all connections to a life of a target that has ended.
+        Close all connections to an incarnation of a target that has ended.
 
-        A target that was cut off or lost its power and starts again under its id sends
-        no reset: a request in flight there would wait for its deadline although its
-        answer can never come. Closed, it is decided at once as after a crash.
+        A target that lost its network or power sends no reset before it restarts.
+        Without this, requests in flight there would wait until their deadline.
         """
-        for link in (*self._idle.pop(target_id, ()), *self._busy.pop(target_id, ())):
-            link.close()
+        for connection in (
+            *self._idle.pop(incarnation, ()),
+            *self._busy.pop(incarnation, ()),
+        ):
+            connection.close()
 
     def close_idle(self):
         """Close all idle connections."""
-        for kept in self._idle.values():
-            for link in kept:
-                link.close()
+        for idle in self._idle.values():
+            for connection in idle:
+                connection.close()
         self._idle.clear()
 
-    def _drop(self, target_id, link):
-        self._let_go(target_id, link)
-        kept = self._idle.get(target_id, [])
-        if link in kept:
-            kept.remove(link)
+    def _remove(self, incarnation, connection):
+        self._remove_busy(incarnation, connection)
+        idle = self._idle.get(incarnation, [])
+        if connection in idle:
+            idle.remove(connection)
 
-    def _let_go(self, target_id, link):
-        """Take a connection off the busy ones."""
-        busy = self._busy.get(target_id)
+    def _remove_busy(self, incarnation, connection):
+        """Remove a connection from the busy ones."""
+        busy = self._busy.get(incarnation)
         if busy is None:
             return
-        busy.discard(link)
+        busy.discard(connection)
         if not busy:
-            del self._busy[target_id]
+            del self._busy[incarnation]
