--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
@@ -1,15 +1,14 @@
 """
-Which targets have ended under which requests, as this host sees it.
+Detects which targets have crashed while they ran which requests.
 
-A send that breaks without a byte of an answer may have met a reset, a full queue or a
-target whose process has just ended. One look tells: a new connection is refused where
-nobody listens any more. A target that answers it is alive, and the connection is kept
-for the next request.
+A send that breaks without a byte of a response may have met a reset, a full accept
+queue or a crash. A new connection tells: it is refused if no process listens at the
+address any more. If the target accepts it, the connection is kept for the next request.
 
-Some ends show only later. A target that was lost without a word refuses connections
-when its machine is back, and a request that this host had given up may end its target
-after that. So unanswered sends stay open questions for some seconds, and another
-host's word that the target has ended settles them as well.
+Some crashes are found only later: a target that lost its machine refuses connections
+once the machine is back, and a request may crash its target after this host has
+abandoned it. So unanswered sends stay unresolved for some seconds, in which a crash of
+the target that another host reports is attributed to them as well.
 """
 
 import asyncio
@@ -21,37 +20,37 @@
 from .link import ConnectFailure
 
 log = logging.getLogger("endings")
-# Seconds for which an unanswered send is blamed on the end of its target. A target is
-# back after some seconds, and then the address answers again.
-ASKED_FOR = 5.0
-# Unanswered sends that are remembered; a host has some tens under way.
-ASKED_MOST = 512
+# Seconds after an unanswered send for which a crash of its target is attributed to it.
+# A target restarts within seconds, and then its address accepts connections again.
+UNRESOLVED_TTL = 5.0
+# Unresolved sends that are kept; the oldest one is dropped first.
+MAX_UNRESOLVED = 512
 
 
 class CrashDetector:
     """
-    The open questions of one host.
+    Attributes crashes of targets to the requests that they ran, on one host.
 
     Args:
       knowledge: The `HostState`.
-      links: The `ConnectionPool`.
+      pool: The `ConnectionPool`.
       metrics: The `EdgeMetrics`.
-      on_ended: Called when a target has ended under a request.
+      on_crash: Called when a target has crashed while it ran a request.
     """
 
-    def __init__(self, knowledge, links, metrics, on_ended):
-        self._on_ended = on_ended
+    def __init__(self, knowledge, pool, metrics, on_crash):
+        self._on_crash = on_crash
         self._knowledge = knowledge
-        self._links = links
+        self._pool = pool
         self._metrics = metrics
-        self._asked = {}
-        self._restarted = {}
-        self._held = set()
-        self._looks = {}
+        self._unresolved = {}
+        self._restarted_at = {}
+        self._held_keys = set()
+        self._probes = {}
 
     def note_broken(self, target, key):
         """
-        Take a send that broke without a byte of an answer, and look at its target.
+        Note a send that broke without a byte of a response, and probe its target.
 
         Args:
           target: The `Target`.
@@ -61,103 +60,107 @@
         if (
             target.incarnation,
             key,
-        ) not in self._asked or target.incarnation in self._looks:
+        ) not in self._unresolved or target.incarnation in self._probes:
             return
-        task = asyncio.get_running_loop().create_task(self._look(target))
-        self._looks[target.incarnation] = task
-        task.add_done_callback(lambda _: self._looks.pop(target.incarnation, None))
+        task = asyncio.get_running_loop().create_task(self._probe(target))
+        self._probes[target.incarnation] = task
+        task.add_done_callback(lambda _: self._probes.pop(target.incarnation, None))
 
     def note_unanswered(self, target, key):
-        """Take a send that was given up without an answer."""
+        """Note a send that was abandoned without a response."""
         suspects = self._knowledge.shared.suspects
         if (
             suspects.has_crashed(target.incarnation)
-            or target.incarnation in self._restarted
+            or target.incarnation in self._restarted_at
         ):
-            self._blame(target.incarnation, [key])
+            self._record_crashes(target.incarnation, [key])
             return
         if not self._knowledge.is_usable(target):
-            # One that is leaving, or gone from the list, ends as it should.
+            # A target that is draining or no longer listed is expected to stop.
             return
-        if len(self._asked) >= ASKED_MOST:
-            self._asked.pop(next(iter(self._asked)))
-        self._asked[target.incarnation, key] = now()
+        if len(self._unresolved) >= MAX_UNRESOLVED:
+            self._unresolved.pop(next(iter(self._unresolved)))
+        self._unresolved[target.incarnation, key] = now()
 
     def note_refused(self, target):
-        """Take a refused connection: the target has ended, whatever it last ran."""
-        keys = self._drop(target.incarnation)
+        """Note a refused connection, which shows that the target has crashed."""
+        keys = self._pop_unresolved(target.incarnation)
         if self._knowledge.is_usable(target):
-            self._blame(target.incarnation, keys)
+            self._record_crashes(target.incarnation, keys)
 
-    def note_restarted(self, life):
-        """Take a target's start under its id, which ended its former life."""
-        self._restarted[life] = now()
-        self._blame(life, self._drop(life))
+    def note_restarted(self, incarnation):
+        """Note the end of an incarnation whose target has started again."""
+        self._restarted_at[incarnation] = now()
+        self._record_crashes(incarnation, self._pop_unresolved(incarnation))
 
     @property
     def has_unresolved(self):
-        """Whether it is open of any target if it has ended."""
-        return bool(self._asked)
+        """Whether any send is unresolved."""
+        return bool(self._unresolved)
 
     def unresolved_count(self, key):
-        """Return how many targets may have ended under a request, not yet known."""
-        return sum(1 for _, asked in self._asked if asked == key)
+        """Return how many sends of a request are unresolved."""
+        return sum(1 for _, other in self._unresolved if other == key)
 
     def tick(self, at):
-        """Settle what others have found out, and forget what is too old."""
-        self._asked = {k: t for k, t in self._asked.items() if at - t < ASKED_FOR}
-        over = self._restarted.items()
-        self._restarted = {life: t for life, t in over if at - t < ASKED_FOR}
+        """Drop expired sends, and record the crashes that other hosts reported."""
+        self._unresolved = {
+            k: t for k, t in self._unresolved.items() if at - t < UNRESOLVED_TTL
+        }
+        restarted = self._restarted_at.items()
+        self._restarted_at = {
+            incarnation: t for incarnation, t in restarted if at - t < UNRESOLVED_TTL
+        }
         suspects = self._knowledge.shared.suspects
-        for life in {life for life, _ in self._asked if suspects.has_crashed(life)}:
-            self._blame(life, self._drop(life))
+        for incarnation in {i for i, _ in self._unresolved if suspects.has_crashed(i)}:
+            self._record_crashes(incarnation, self._pop_unresolved(incarnation))
         self._log_held(at)
 
     def _log_held(self, at):
-        """Log which requests are held back from now on, and which not any more."""
+        """Log which requests are now held back, and which no longer are."""
         suspects = self._knowledge.shared.suspects
         held = suspects.held_keys(at)
-        for key in held - self._held:
-            held_for = round(suspects.hold_remaining(key, at), 1)
+        for key in held - self._held_keys:
+            hold_remaining = round(suspects.hold_remaining(key, at), 1)
             fields = {
                 "key": key,
                 "lives": suspects.crash_count(key),
-                "held_for": held_for,
+                "held_for": hold_remaining,
             }
             log.info("holding back", extra=fields)
-        for key in self._held - held:
+        for key in self._held_keys - held:
             log.info("letting through", extra={"key": key})
-        self._held = held
+        self._held_keys = held
 
-    async def _look(self, target):
-        """Find out whether a target still listens."""
-        link = await self._links.open(target)
+    async def _probe(self, target):
+        """Probe whether a target still accepts connections."""
+        connection = await self._pool.open(target)
         self._metrics.connections.inc({"service": target.service})
-        if link is ConnectFailure.REFUSED:
+        if connection is ConnectFailure.REFUSED:
             self.note_refused(target)
-        elif link is not ConnectFailure.NO_RESPONSE:
-            self._links.release_unused(target.incarnation, link)
-            self._drop(target.incarnation)
+        elif connection is not ConnectFailure.NO_RESPONSE:
+            self._pool.release_unused(target.incarnation, connection)
+            self._pop_unresolved(target.incarnation)
 
-    def _drop(self, life):
-        """Forget the questions about a life, and return the requests that it ran."""
-        keys = [key for asked, key in self._asked if asked == life]
+    def _pop_unresolved(self, incarnation):
+        """Remove the unresolved sends to an incarnation, and return their keys."""
+        keys = [key for sent_to, key in self._unresolved if sent_to == incarnation]
         for key in keys:
-            del self._asked[life, key]
+            del self._unresolved[incarnation, key]
         return keys
 
-    def _blame(self, life, keys):
+    def _record_crashes(self, incarnation, keys):
         for key in keys:
-            note = RunRecord(key, life, True)
-            self._knowledge.note_run(note)
+            record = RunRecord(key, incarnation, True)
+            self._knowledge.note_run(record)
             log.info(
                 "ended",
                 extra={
-                    "target": life,
+                    "target": incarnation,
                     "key": key,
                     "beside": len(keys) - 1,
                     "lives": self._knowledge.shared.suspects.crash_count(key),
                 },
             )
         if keys:
-            self._on_ended()
+            self._on_crash()
