--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
@@ -1,5 +1,5 @@
 """
-Tests of finding out which targets have ended under which requests.
+Tests of the detection of crashes of targets and of the requests that they ran.
 """
 
 import asyncio
@@ -9,7 +9,7 @@
 from plumsaddle_core.core.traffic import Bounds, HostSettings, Target, TargetState
 from plumsaddle_core.ops.suspects import RunRecord
 
-from .endings import ASKED_FOR, ASKED_MOST, CrashDetector
+from .endings import MAX_UNRESOLVED, UNRESOLVED_TTL, CrashDetector
 from .knowledge import HostState
 from .link import ConnectFailure
 from .metrics import EdgeMetrics
@@ -18,155 +18,147 @@
 ALIVE = "a connection"
 
 
-class ScriptedLinks:
-    """Connections that end as the test says; `opened` counts them."""
+class FakeConnectionPool:
+    """Opens connections with a set result; `opened` counts them."""
 
     def __init__(self, result):
         self.result = result
         self.opened = 0
-        self.kept = []
+        self.pooled = []
 
     async def open(self, target):
         self.opened += 1
         await asyncio.sleep(0)
         return self.result
 
-    def release_unused(self, life, link):
-        self.kept.append(life)
+    def release_unused(self, incarnation, connection):
+        self.pooled.append(incarnation)
 
 
 def _target(number, state=TargetState.READY):
     return Target(f"t{number}", "s", "10.0.0.1:80", "x", 4, state, 0.0, 0.0)
 
 
-class Case:
-    """A `CrashDetector` with one target that is listed."""
+class Fixture:
+    """A `CrashDetector` and one listed target."""
 
     def __init__(self, result):
-        self.knowledge = HostState(SETTINGS)
-        self.links = ScriptedLinks(result)
-        self.told = 0
-        self.endings = CrashDetector(
-            self.knowledge, self.links, EdgeMetrics("h"), self._on_ended
+        self.host_state = HostState(SETTINGS)
+        self.pool = FakeConnectionPool(result)
+        self.reported = 0
+        self.detector = CrashDetector(
+            self.host_state, self.pool, EdgeMetrics("h"), self._on_crash
         )
         self.target = _target(1)
-        self.knowledge.registry.put(self.target, 1, 0.0)
+        self.host_state.registry.put(self.target, 1, 0.0)
 
-    def _on_ended(self):
-        self.told += 1
+    def _on_crash(self):
+        self.reported += 1
 
-    def list_as(self, state):
-        """Change the target's entry."""
-        self.knowledge.registry.put(_target(1, state), 2, 0.0)
+    def set_target_state(self, state):
+        """Change the state in the target's entry."""
+        self.host_state.registry.put(_target(1, state), 2, 0.0)
 
-    def ended(self, key):
-        """Return how many lives ended under a request."""
-        return self.knowledge.shared.suspects.crash_count(key)
+    def crash_count(self, key):
+        """Return how many incarnations crashed while they ran a request."""
+        return self.host_state.shared.suspects.crash_count(key)
 
 
 def _run(result, act):
     async def run():
-        case = Case(result)
-        await act(case)
-        return case
+        fixture = Fixture(result)
+        await act(fixture)
+        return fixture
 
     return asyncio.run(run())
 
 
-def test_a_target_that_refuses_connections_has_ended_under_what_it_ran():
-    async def act(case):
+def test_refused_connection_attributes_crash_to_running_requests():
+    async def act(fixture):
         for key in ("a", "b"):
-            case.endings.note_broken(case.target, key)
+            fixture.detector.note_broken(fixture.target, key)
         await asyncio.sleep(0.01)
 
-    case = _run(ConnectFailure.REFUSED, act)
-    assert (case.ended("a"), case.ended("b")) == (1, 1)
-    # One look was enough for both.
-    assert case.links.opened == 1
-    assert case.told == 1
+    fixture = _run(ConnectFailure.REFUSED, act)
+    assert (fixture.crash_count("a"), fixture.crash_count("b")) == (1, 1)
+    # One probe serves both requests.
+    assert fixture.pool.opened == 1
+    assert fixture.reported == 1
 
 
-def test_a_reset_by_a_target_that_lives_says_nothing_of_the_request():
-    """
-    A notary's look-up is refused since three busy targets reset its connections.
-    """
+def test_reset_by_live_target_is_not_attributed_to_request():
+    """Guards against holding back a request because busy targets reset connections."""
 
-    async def act(case):
-        case.endings.note_broken(case.target, "a")
+    async def act(fixture):
+        fixture.detector.note_broken(fixture.target, "a")
         await asyncio.sleep(0.01)
-        # Nor later, when that target ends for another reason.
-        case.endings.note_refused(case.target)
+        # A later crash for another reason isn't attributed to it either.
+        fixture.detector.note_refused(fixture.target)
 
-    case = _run(ALIVE, act)
-    assert case.ended("a") == 0
-    assert case.links.kept == [case.target.incarnation]
+    fixture = _run(ALIVE, act)
+    assert fixture.crash_count("a") == 0
+    assert fixture.pool.pooled == [fixture.target.incarnation]
 
 
 @pytest.mark.parametrize("state", [TargetState.DRAINING, None])
-def test_a_target_that_leaves_ends_under_nothing(state):
-    """
-    A release drains a service, and what its targets cut short at their end is refused.
-    """
+def test_stop_of_draining_or_unlisted_target_is_not_a_crash(state):
+    """Guards against holding back requests that targets cut short during a release."""
 
-    async def act(case):
+    async def act(fixture):
         if state is None:
-            case.knowledge.registry.drop({"t1": 2}, 0.0)
+            fixture.host_state.registry.drop({"t1": 2}, 0.0)
         else:
-            case.list_as(state)
-        case.endings.note_broken(case.target, "a")
+            fixture.set_target_state(state)
+        fixture.detector.note_broken(fixture.target, "a")
         await asyncio.sleep(0.01)
 
-    assert _run(ConnectFailure.REFUSED, act).ended("a") == 0
+    assert _run(ConnectFailure.REFUSED, act).crash_count("a") == 0
 
 
-def test_a_request_that_was_given_up_is_blamed_when_its_target_ends_soon_after():
-    """
-    A request that ends its target after three seconds is never found out.
+def test_crash_soon_after_abandoned_request_is_attributed_to_it():
+    """Guards against missing crashes that happen after the route's timeout."""
 
-    Its route gives it up after one, and the target ends when nobody waits any more.
-    """
+    async def act(fixture):
+        fixture.detector.note_unanswered(fixture.target, "slow")
+        assert fixture.detector.unresolved_count("slow") == 1
+        fixture.detector.note_refused(fixture.target)
 
-    async def act(case):
-        case.endings.note_unanswered(case.target, "slow")
-        assert case.endings.unresolved_count("slow") == 1
-        case.endings.note_refused(case.target)
+    assert _run(ConnectFailure.REFUSED, act).crash_count("slow") == 1
 
-    assert _run(ConnectFailure.REFUSED, act).ended("slow") == 1
 
-
-def test_another_hosts_word_settles_a_look_that_met_silence():
-    async def act(case):
-        case.endings.note_broken(case.target, "a")
+def test_crash_reported_by_another_host_resolves_unanswered_probe():
+    async def act(fixture):
+        fixture.detector.note_broken(fixture.target, "a")
         await asyncio.sleep(0.01)
-        assert case.ended("a") == 0
-        note = RunRecord("b", case.target.incarnation, True)
-        case.knowledge.shared.suspects.add(note, 0.0)
-        case.endings.tick(0.0)
-
-    assert _run(ConnectFailure.NO_RESPONSE, act).ended("a") == 1
-
-
-def test_a_restart_under_the_same_id_ends_what_ran_in_the_former_life():
-    async def act(case):
-        case.endings.note_unanswered(case.target, "early")
-        case.endings.note_restarted(case.target.incarnation)
-        # Its connections are closed after that, which breaks the others.
-        case.endings.note_broken(case.target, "late")
-
-    case = _run(ALIVE, act)
-    assert (case.ended("early"), case.ended("late")) == (1, 1)
-    assert case.links.opened == 0
-
-
-def test_questions_are_bounded_in_time_and_number():
-    async def act(case):
-        case.endings.note_unanswered(case.target, "old")
-        case.endings.tick(1e9 + ASKED_FOR)
-        assert case.endings.unresolved_count("old") == 0
-        for number in range(2 * ASKED_MOST):
-            case.endings.note_unanswered(case.target, f"k{number}")
-        case.endings.note_refused(case.target)
-
-    case = _run(ConnectFailure.REFUSED, act)
-    assert case.ended("k0") == 0
-    assert case.ended(f"k{2 * ASKED_MOST - 1}") == 1
+        assert fixture.crash_count("a") == 0
+        record = RunRecord("b", fixture.target.incarnation, True)
+        fixture.host_state.shared.suspects.add(record, 0.0)
+        fixture.detector.tick(0.0)
+
+    assert _run(ConnectFailure.NO_RESPONSE, act).crash_count("a") == 1
+
+
+def test_restart_under_same_id_attributes_crash_to_running_requests():
+    async def act(fixture):
+        fixture.detector.note_unanswered(fixture.target, "early")
+        fixture.detector.note_restarted(fixture.target.incarnation)
+        # Closing its connections then breaks the remaining sends.
+        fixture.detector.note_broken(fixture.target, "late")
+
+    fixture = _run(ALIVE, act)
+    assert (fixture.crash_count("early"), fixture.crash_count("late")) == (1, 1)
+    assert fixture.pool.opened == 0
+
+
+def test_unresolved_sends_are_limited_in_age_and_number():
+    async def act(fixture):
+        fixture.detector.note_unanswered(fixture.target, "old")
+        fixture.detector.tick(1e9 + UNRESOLVED_TTL)
+        assert fixture.detector.unresolved_count("old") == 0
+        for number in range(2 * MAX_UNRESOLVED):
+            fixture.detector.note_unanswered(fixture.target, f"k{number}")
+        fixture.detector.note_refused(fixture.target)
+
+    fixture = _run(ConnectFailure.REFUSED, act)
+    assert fixture.crash_count("k0") == 0
+    assert fixture.crash_count(f"k{2 * MAX_UNRESOLVED - 1}") == 1
