--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -1,8 +1,8 @@
 """
-What a host knows: the configuration, the targets, and the work of its data centre.
+The state of one host: configuration, targets, load and health of its data centre.
 
-The relay asks it for a target and tells it outcomes; the feeds and the peers bring it
-up to date. It has no sockets of its own.
+The relay chooses targets here and reports outcomes; the feeds and the peers keep the
+state current. This module opens no sockets.
 """
 
 import logging
@@ -48,14 +48,14 @@
 from .limits import RateLimits
 
 log = logging.getLogger("knowledge")
-# The size of an answer before one was seen, in bytes, and the part by which each one
-# moves the mean: about the last ten count.
-ANSWER_AT_FIRST = 2000.0
-ANSWER_PART = 0.1
-SIGNS = {
+# The assumed size of a route's responses before one was received, in bytes.
+DEFAULT_RESPONSE_BYTES = 2000.0
+# The weight of the latest response in the moving average of their sizes.
+RESPONSE_BYTES_WEIGHT = 0.1
+SIGNALS_BY_OUTCOME = {
     SendOutcome.SUCCEEDED: HealthSignal.SUCCEEDED,
     SendOutcome.UNREACHABLE: HealthSignal.UNREACHABLE,
-    # Somebody else has the address, so the target is gone although it is still listed.
+    # Another target has the address, so this one has stopped although it is listed.
     SendOutcome.WRONG_TARGET: HealthSignal.UNREACHABLE,
     SendOutcome.TIMED_OUT: HealthSignal.STUCK,
     SendOutcome.FAILED: HealthSignal.FAILED,
@@ -65,20 +65,20 @@
 }
 
 
-def _is_good(choice):
-    """Return whether a choice is as good as one among more targets likely is."""
+def _is_good_enough(choice):
+    """Return whether a choice scores as well as one among all targets likely would."""
     return choice is not None and choice.score >= MIN_SUBSET_SCORE
 
 
 def _is_final(choice):
-    """Return whether no target for which a request has to wait need be weighed."""
+    """Return whether targets for which the request must wait needn't be considered."""
     is_trial = choice is not None and choice.rule is ChoiceRule.FLOOR_TRIAL
-    return is_trial or _is_good(choice)
+    return is_trial or _is_good_enough(choice)
 
 
 class HostState:
     """
-    The state that decides what becomes of requests on one host.
+    The state from which one host decides how it handles requests.
 
     Args:
       settings: The `HostSettings`.
@@ -91,7 +91,7 @@
         self.cfg = None
         self.route_table = {}
         self.workspaces_by_key = {}
-        self._ranks = {}
+        self._priorities = {}
         self.registry = Registry()
         self.has_targets = False
         bounds = settings.bounds
@@ -111,102 +111,114 @@
                 Membership(settings.id, now(), settings.has_seeds), rng
             ),
         )
-        self._answer_bytes = {}
+        self._response_bytes = {}
         self.limits = RateLimits(
-            settings, self.shared.limits, self.registry, self._tell
+            settings, self.shared.limits, self.registry, self._notify
         )
-        self._ranked = {}
+        self._target_orders = {}
         self._rates = {}
         self._trials = Trials()
-        self._on_work = None
-        self._on_ended = None
+        self._on_change = None
+        self._on_restart = None
         self.configuration_age = lambda at: math.inf
 
-    def subscribe(self, on_work, on_ended, age):
+    def subscribe(self, on_change, on_restart, configuration_age):
         """
-        Set what is called when something changes, or is asked for.
+        Set the callbacks.
 
         Args:
-          on_work: Called when this host's work or its outcomes change, with whether
-            other hosts should know at once.
-          on_ended: Called with the former life of a target that has started again.
-          age: Called with the present for the seconds since the store said that the
-            configuration in force is the newest.
+          on_change: Called when the load or outcomes of this host change, with whether
+            the change is urgent for other hosts.
+          on_restart: Called with the former incarnation of a target that restarted.
+          configuration_age: Called with the current time; returns the seconds since
+            the store confirmed that the current configuration is the newest.
         """
-        self._on_work = on_work
-        self._on_ended = on_ended
-        self.configuration_age = age
+        self._on_change = on_change
+        self._on_restart = on_restart
+        self.configuration_age = configuration_age
 
     @property
     def is_complete(self):
-        """Whether a configuration and the list of targets are here."""
+        """Whether both a configuration and the list of targets were received."""
         return self.cfg is not None and self.has_targets
 
-    # What the feeds bring.
+    # Called by the feeds.
 
     def apply_operator_records(self, page):
-        """Take the operators' records of a `Page`."""
+        """Apply a `Page` of the operators' records."""
         for record in page.records:
             if record.key == wire.CONFIGURATION_KEY and record.value is not None:
-                self._take_configuration(record.value)
+                self._apply_configuration(record.value)
 
-    def _take_configuration(self, data):
+    def _apply_configuration(self, data):
         cfg = wire.decode_configuration(data)
         if cfg is None:
-            log.error("unreadable configuration", extra={"bytes": len(data)})
+            log.error("cannot decode configuration", extra={"bytes": len(data)})
             return
         former = self.cfg.version if self.cfg else None
         if former is not None and cfg.version <= former:
-            log.info("old version", extra={"version": cfg.version, "in_force": former})
+            log.info(
+                "ignoring outdated configuration",
+                extra={"version": cfg.version, "in_force": former},
+            )
             return
         self.cfg = cfg
         self.route_table = build_route_table(cfg.routes)
-        self.workspaces_by_key, shared = index_keys(cfg.workspaces)
-        for digest in shared:
-            log.error("shared key", extra={"key": short_digest(digest)})
+        self.workspaces_by_key, ambiguous = index_keys(cfg.workspaces)
+        for digest in ambiguous:
+            log.error(
+                "key belongs to several workspaces", extra={"key": short_digest(digest)}
+            )
         self.shared.quotas.configure(cfg.workspaces, now())
-        self._ranks = priorities_by_service(cfg.routes, cfg.workspaces)
+        self._priorities = priorities_by_service(cfg.routes, cfg.workspaces)
         names = {route.name for route in cfg.routes}
         self.shared.times.retain_routes(names)
-        kept = {
-            name: size for name, size in self._answer_bytes.items() if name in names
+        retained = {
+            name: size for name, size in self._response_bytes.items() if name in names
         }
-        self._answer_bytes = kept
+        self._response_bytes = retained
         log.info("version", extra={"version": cfg.version, "former": former})
 
     def apply_target_listing(self, page):
-        """Take a full listing of the targets."""
+        """Apply a full listing of the targets."""
         at = now()
         names = {record.key for record in page.records if record.value is not None}
-        self._take_targets(page, at, self.registry.missing(names, page.next_offset))
+        self._apply_targets(page, at, self.registry.missing(names, page.next_offset))
         self.has_targets = True
 
     def apply_target_changes(self, page):
-        """Take changes to the list of targets."""
-        self._take_targets(page, now(), {})
+        """Apply changes to the list of targets."""
+        self._apply_targets(page, now(), {})
+
+    def _apply_targets(self, page, at, removed):
+        """
+        Apply a page of entries.
 
-    def _take_targets(self, page, at, gone):
-        """Take a page of entries, and the offsets of those that are gone besides."""
+        Args:
+          page: The `Page`.
+          at: The current time, in seconds.
+          removed: Offsets by id of further targets that were removed.
+        """
         for record in page.records:
             if record.value is None:
-                gone[record.key] = record.offset
+                removed[record.key] = record.offset
                 continue
-            gone.pop(record.key, None)
-            self._take_entry(record, at)
-        self.registry.drop(gone, at)
-        for target_id in gone:
+            removed.pop(record.key, None)
+            self._apply_entry(record, at)
+        self.registry.drop(removed, at)
+        for target_id in removed:
             log.info("unlisted", extra={"target": target_id})
-        lives = self.registry.lives()
-        self.shared.evict_targets(lives, at)
-        self.limits.evict(lives)
+        incarnations = self.registry.lives()
+        self.shared.evict_targets(incarnations, at)
+        self.limits.evict(incarnations)
 
-    def _take_entry(self, record, at):
-        """Take one entry, whoever wrote it."""
+    def _apply_entry(self, record, at):
+        """Apply one entry, which may be invalid."""
         result = wire.decode_target(record.key, record.value, at)
         if isinstance(result, Failure):
             self.registry.reject(record.key, record.offset)
             log.error(
-                "unusable entry",
+                "ignoring invalid target entry",
                 extra={"target": record.key, "cause": result.failure()},
             )
             return
@@ -226,143 +238,145 @@
             log.info(
                 "restarted", extra={"target": target.id, "former": former.incarnation}
             )
-            if self._on_ended is not None:
-                self._on_ended(former.incarnation)
+            if self._on_restart is not None:
+                self._on_restart(former.incarnation)
 
     def expire(self, at):
-        """Drop what has lapsed."""
+        """Drop targets whose entries have expired."""
         for target_id in self.registry.expire(at):
             log.info("lapsed", extra={"target": target_id})
 
-    # What the listener asks.
+    # Called by the listener.
 
     def admit(self, workspace, at):
         """
-        Return the `QuotaDecision` on a request of a workspace, and count it.
+        Count a request of a workspace, and return the `QuotaDecision` on it.
 
         Args:
-          workspace: The `Workspace`, or None for nobody's.
-          at: The present, in seconds.
+          workspace: The `Workspace`, or None if the request has none.
+          at: The current time, in seconds.
         """
         decision = self.shared.quotas.acquire(workspace, at)
         if not decision.is_admitted:
-            # What was refused counts for the fleet's demand and is told too; what is
-            # let through is told with its send.
-            self._tell(is_urgent=False)
+            # Refused requests count towards the fleet's demand. Admitted ones are
+            # reported with their send.
+            self._notify(is_urgent=False)
         return decision
 
     def urgency(self, service, route, workspace):
-        """Return how urgent a request is for its service, from 0.0 to 1.0."""
+        """Return the relative urgency of a request in its service, from 0.0 to 1.0."""
         return relative_urgency(
-            self._ranks.get(service, ()), request_priority(route, workspace)
+            self._priorities.get(service, ()), request_priority(route, workspace)
         )
 
-    # What the relay asks.
+    # Called by the relay to choose a target.
 
-    def choose(self, service, demand, excluded, has_link, at, longest=0.0):
+    def choose(self, service, profile, excluded, has_connection, at, max_wait=0.0):
         """
         Choose a target for a send.
 
-        The first send of a request may be a trial that keeps the service's floor.
+        The first send of a request may be a trial that maintains the service's floor.
 
         Args:
           service: The service's name.
-          demand: The `RequestProfile`.
-          excluded: Ids of targets not to be used.
-          has_link: A function that tells whether there is an open connection to a life
-            of a target.
-          at: The present, in seconds.
-          longest: The most seconds that the request may wait for a target whose own
-            rate limit delays it, if there is no other good choice.
+          profile: The `RequestProfile`.
+          excluded: The ids of targets that must not be chosen.
+          has_connection: Called with the incarnation of a target; returns whether there
+            is an open connection to it.
+          at: The current time, in seconds.
+          max_wait: How long the request may wait for the rate limit of a target, if
+            there is no other good choice, in seconds.
         Returns:
           A `Choice`, or None if there is no target.
         """
         usable = self.limits.within(service, 0.0, at)
-        choice = self._choose_usable(service, usable, demand, excluded, has_link, at)
-        if longest <= 0.0 or not self.limits.are_any or _is_final(choice):
+        choice = self._choose_usable(
+            service, usable, profile, excluded, has_connection, at
+        )
+        if max_wait <= 0.0 or not self.limits.are_any or _is_final(choice):
             return choice
-        delayed = self.limits.within(service, longest, at)
+        delayed = self.limits.within(service, max_wait, at)
         if len(delayed) == len(usable):
             return choice
-        every = [target for target in delayed if target.id not in excluded]
-        return self._choose_among(every, demand, has_link, at)
+        candidates = [target for target in delayed if target.id not in excluded]
+        return self._choose_among(candidates, profile, has_connection, at)
 
-    def _choose_usable(self, service, usable, demand, excluded, has_link, at):
-        """Choose among targets to which a request may be sent at once."""
-        may_try = (
+    def _choose_usable(self, service, usable, profile, excluded, has_connection, at):
+        """Choose among targets to which a request may be sent immediately."""
+        may_send_trial = (
             not excluded and Feature.FLOOR_TRIALS not in self.settings.disabled_features
         )
-        trial = self._find_trial(service, usable, at) if may_try else None
+        trial = self._find_trial(service, usable, at) if may_send_trial else None
         if trial is not None:
-            tried = [target for target in usable if target.incarnation == trial]
-            choice = self._choose_among(tried, demand, has_link, at)
+            trial_targets = [target for target in usable if target.incarnation == trial]
+            choice = self._choose_among(trial_targets, profile, has_connection, at)
             return choice._replace(rule=ChoiceRule.FLOOR_TRIAL)
         rate = self._rates.setdefault(service, EventRate()).note(at)
         subset = self._subset(service, usable, rate)
-        kept_to = [target for target in subset if target.id not in excluded]
-        choice = self._choose_among(kept_to, demand, has_link, at)
-        if _is_good(choice) or len(subset) == len(usable):
+        preferred = [target for target in subset if target.id not in excluded]
+        choice = self._choose_among(preferred, profile, has_connection, at)
+        if _is_good_enough(choice) or len(subset) == len(usable):
             return choice
-        every = [target for target in usable if target.id not in excluded]
-        return self._choose_among(every, demand, has_link, at)
+        candidates = [target for target in usable if target.id not in excluded]
+        return self._choose_among(candidates, profile, has_connection, at)
 
     def _subset(self, service, usable, rate):
-        """Return the targets of a service that this host keeps to."""
+        """Return the targets of a service that this host prefers."""
         if len(usable) <= MAX_TARGETS_WITHOUT_SUBSET:
             return usable
-        revision, ranked = self._ranked.get(service, (-1, None))
+        revision, order = self._target_orders.get(service, (-1, None))
         if revision != self.registry.revision:
             settings = self.settings
             listed = self.registry.usable(service)
-            ranked = order_targets(listed, settings.id, settings.data_centre)
-            self._ranked[service] = (self.registry.revision, ranked)
+            order = order_targets(listed, settings.id, settings.data_centre)
+            self._target_orders[service] = (self.registry.revision, order)
         hosts = self.shared.live_host_count()
-        subset = ranked.subset(subset_size(len(ranked.local), hosts, rate))
+        subset = order.subset(subset_size(len(order.local), hosts, rate))
         if not self.limits.are_any:
             return subset
-        lives = {target.incarnation for target in usable}
-        return [target for target in subset if target.incarnation in lives]
+        incarnations = {target.incarnation for target in usable}
+        return [target for target in subset if target.incarnation in incarnations]
 
-    def _choose_among(self, targets, demand, has_link, at):
-        candidates = [self._weigh(target, has_link, at) for target in targets]
-        return choose_target(candidates, demand, self.rng)
+    def _choose_among(self, targets, profile, has_connection, at):
+        candidates = [self._candidate(target, has_connection, at) for target in targets]
+        return choose_target(candidates, profile, self.rng)
 
     def _find_trial(self, service, usable, at):
-        """Return the target near by that must get a request to keep the floor."""
+        """Return the local incarnation that needs a trial for the floor, or None."""
         return self._trials.find(
             service,
-            lambda: self._tryable(usable, at),
+            lambda: self._trial_incarnations(usable, at),
             self.shared,
             self.settings.bounds.floor_share,
             at,
         )
 
-    def _tryable(self, usable, at):
-        """Return the lives of targets, and those that this host may try."""
-        near = {
+    def _trial_incarnations(self, usable, at):
+        """Return all usable incarnations, and those that this host may send trials."""
+        local = {
             target.incarnation
             for target in usable
             if target.data_centre == self.settings.data_centre
             and not self.shared.is_path_broken(target.incarnation, at)
         }
-        return [target.incarnation for target in usable], near
+        return [target.incarnation for target in usable], local
 
-    def _weigh(self, target, has_link, at):
-        is_near = target.data_centre == self.settings.data_centre
+    def _candidate(self, target, has_connection, at):
+        is_local = target.data_centre == self.settings.data_centre
         return Candidate(
             target,
             self.shared.failure_probability(target.incarnation, at),
             self.shared.in_flight(target.incarnation),
             at < target.read_at + target.warmup,
-            is_near,
+            is_local,
             Feature.OPEN_CONNECTIONS not in self.settings.disabled_features
-            and has_link(target.incarnation),
-            is_near or self.shared.knows_remote_load(target.data_centre, at),
+            and has_connection(target.incarnation),
+            is_local or self.shared.knows_remote_load(target.data_centre, at),
             self.limits.wait(target, at),
         )
 
     def request_profile(self, route, service, started, deadline, kilobytes, at):
-        """Return the `RequestProfile` of a request by now."""
+        """Return the current `RequestProfile` of a request."""
         return RequestProfile(
             route.kind,
             self.shared.times.typical_duration(service, route.name),
@@ -372,83 +386,84 @@
         )
 
     def typical_response_bytes(self, route):
-        """Return the usual size of a route's answers, in bytes."""
-        return self._answer_bytes.get(route.name, ANSWER_AT_FIRST)
+        """Return the typical size of a route's responses, in bytes."""
+        return self._response_bytes.get(route.name, DEFAULT_RESPONSE_BYTES)
 
     def note_response_size(self, route, size):
-        """Take the size of a whole answer, in bytes."""
+        """Note the size of a complete response, in bytes."""
         former = self.typical_response_bytes(route)
-        self._answer_bytes[route.name] = former + ANSWER_PART * (size - former)
+        self._response_bytes[route.name] = former + RESPONSE_BYTES_WEIGHT * (
+            size - former
+        )
 
     def is_usable(self, target):
-        """Return whether this life of a target may still get new work."""
+        """Return whether a target with this incarnation may still get requests."""
         listed = self.registry.targets.get(target.id)
         if listed is None or listed.incarnation != target.incarnation:
             return False
         return listed.state is TargetState.READY
 
-    def may_retry(self, service, urgent):
+    def may_retry(self, service, urgency):
         """
-        Return whether one more send for a service fits the bound on retries.
+        Return whether the retry budget admits one more send for a service.
 
         Args:
           service: The service's name.
-          urgent: The urgency of the request.
+          urgency: The urgency of the request, from 0.0 to 1.0.
         """
-        centres = max(1, len(self.settings.data_centres))
-        extra = self.settings.bounds.retry_extra / centres
-        return self.shared.may_retry(service, extra, now(), usable_retry_share(urgent))
+        data_centre_count = max(1, len(self.settings.data_centres))
+        extra = self.settings.bounds.retry_extra / data_centre_count
+        return self.shared.may_retry(service, extra, now(), usable_retry_share(urgency))
 
-    # What the relay tells.
+    # Called by the relay to report sends.
 
     def note_send_start(self, target):
-        """Count a send that starts."""
+        """Count a send as in flight."""
         self.shared.note_send_start(target.incarnation, now())
         self.limits.acquire(target, now())
-        self._tell(is_urgent=False)
+        self._notify(is_urgent=False)
 
     def note_send_end(self, target):
-        """Count a send that ended."""
+        """Stop counting a send as in flight."""
         self.shared.note_send_end(target.incarnation)
-        self._tell(is_urgent=False)
+        self._notify(is_urgent=False)
 
-    def note_outcome(self, target, route, fate, seconds):
-        """Take the fate of a send, or of one that is unanswered for too long."""
-        if fate is SendOutcome.NOT_RUN and not self._has_room(target):
+    def note_outcome(self, target, route, outcome, seconds):
+        """Note the outcome of a send, or a timeout while it is still unanswered."""
+        if outcome is SendOutcome.NOT_RUN and not self._has_room(target):
             return
-        if fate is SendOutcome.NOT_RUN and self.limits.rate(target) is not None:
-            # It rejects what is beyond its limit, and is no worse for that.
+        if outcome is SendOutcome.NOT_RUN and self.limits.rate(target) is not None:
+            # Rejecting requests beyond its rate limit is not a failure.
             return
-        self._note(target, route, SIGNS.get(fate), seconds)
+        self._note_signal(target, route, SIGNALS_BY_OUTCOME.get(outcome), seconds)
 
     def _has_room(self, target):
         """
-        Return whether a target has a free slot as far as the data centre knows.
+        Return whether a local target has a free slot, as far as is known.
 
-        A full target refuses rightly. One that refuses with room is never busy, so it
-        looks like the best choice and draws the work of all: with half of a service's
-        targets like that, one request in five was refused, one in a hundred with this.
+        A target that refuses requests although it has free slots never looks busy and
+        would attract all requests, unless its refusals count against it.
         """
-        is_near = target.data_centre == self.settings.data_centre
-        return is_near and self.shared.in_flight(target.incarnation) < target.slots
+        is_local = target.data_centre == self.settings.data_centre
+        return is_local and self.shared.in_flight(target.incarnation) < target.slots
 
-    def note_run(self, note):
-        """Take a `RunRecord` of this host's own."""
-        if self.shared.suspects.add(note, now(), is_own=True):
-            self._tell(is_urgent=True)
+    def note_run(self, record):
+        """Add a `RunRecord` that this host made."""
+        if self.shared.suspects.add(record, now(), is_own=True):
+            self._notify(is_urgent=True)
 
     def note_late_response(self, target, route, seconds):
-        """Take a whole answer to a send that was noted as unanswered for too long."""
-        self._note(target, route, HealthSignal.LATE, seconds)
+        """Note a complete response to a send whose timeout was already noted."""
+        self._note_signal(target, route, HealthSignal.LATE, seconds)
 
-    def _note(self, target, route, sign, seconds):
-        if sign is None:
+    def _note_signal(self, target, route, signal, seconds):
+        if signal is None:
             return
         self.shared.note_outcome(
-            target.incarnation, target.service, route.name, sign, seconds, now()
+            target.incarnation, target.service, route.name, signal, seconds, now()
         )
-        self._tell(is_urgent=sign not in DEFERRABLE_OUTCOMES)
+        self._notify(is_urgent=signal not in DEFERRABLE_OUTCOMES)
 
-    def _tell(self, is_urgent):
-        if self._on_work is not None:
-            self._on_work(is_urgent)
+    def _notify(self, is_urgent):
+        if self._on_change is not None:
+            self._on_change(is_urgent)
