--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
@@ -1,5 +1,5 @@
 """
-Tests of how a host chooses among the targets of a large service, without sockets.
+Tests of the choice among the targets of a large service.
 """
 
 import random
@@ -20,86 +20,77 @@
 from .clock import now
 from .knowledge import HostState
 
-DEMAND = RequestProfile(RequestKind.ORDER, 0.2, 0.6, 1.5, 1.0)
+PROFILE = RequestProfile(RequestKind.ORDER, 0.2, 0.6, 1.5, 1.0)
 
 
-def _knowledge(count, off=frozenset({Feature.FLOOR_TRIALS})):
+def _host_state(count, disabled=frozenset({Feature.FLOOR_TRIALS})):
     settings = HostSettings(
-        "h", "x", ("x", "y"), "", "", "", (), "", Bounds(), None, off
+        "h", "x", ("x", "y"), "", "", "", (), "", Bounds(), None, disabled
     )
-    knowledge = HostState(settings, random.Random(1))
+    host_state = HostState(settings, random.Random(1))
     for number in range(count):
-        centre = "x" if number % 2 else "y"
-        target = Target(f"t{number}", "act", "", centre, 2, TargetState.READY, 0.0, 0.0)
-        knowledge.registry.put(target, number, 0.0)
-    return knowledge
+        data_centre = "x" if number % 2 else "y"
+        target = Target(
+            f"t{number}", "act", "", data_centre, 2, TargetState.READY, 0.0, 0.0
+        )
+        host_state.registry.put(target, number, 0.0)
+    return host_state
 
 
-def _choose(knowledge, excluded=frozenset()):
-    choice = knowledge.choose("act", DEMAND, excluded, lambda life: False, now())
+def _choose(host_state, excluded=frozenset()):
+    choice = host_state.choose(
+        "act", PROFILE, excluded, lambda incarnation: False, now()
+    )
     return choice.candidate.target.id, choice.rule
 
 
-def test_a_host_keeps_to_its_subset_while_that_is_good():
-    """
-    A host opens a new connection for each request.
-
-    With 200 targets and ten requests a second it meets each of them once in twenty
-    seconds, and targets close idle connections after ten.
-    """
-    knowledge = _knowledge(200)
-    knowledge.shared.live_host_count = lambda: 45
-    knowledge._rates["act"] = _SteadyRate()
-    assert len({_choose(knowledge)[0] for _ in range(300)}) <= 48
+def test_host_uses_only_its_subset_while_that_scores_well():
+    """Guards against using so many targets that connections are idle too long."""
+    host_state = _host_state(200)
+    host_state.shared.live_host_count = lambda: 45
+    host_state._rates["act"] = _SteadyRate()
+    assert len({_choose(host_state)[0] for _ in range(300)}) <= 48
 
 
-def test_a_host_looks_further_when_its_subset_is_bad():
-    """
-    A host refuses or loses requests although most targets of the service are idle.
-
-    All that it keeps to are full or fail.
-    """
-    knowledge = _knowledge(200)
-    kept_to = {target.id for target in knowledge._subset("act", _usable(knowledge), 1)}
-    for target_id in kept_to:
-        knowledge.shared.note_outcome(
+def test_host_leaves_its_subset_when_that_scores_badly():
+    """Guards against failing requests because all targets of the subset fail."""
+    host_state = _host_state(200)
+    subset = {target.id for target in host_state._subset("act", _usable(host_state), 1)}
+    for target_id in subset:
+        host_state.shared.note_outcome(
             target_id, "act", "r", HealthSignal.FAILED, 0.0, now()
         )
-    assert _choose(knowledge)[0] not in kept_to
+    assert _choose(host_state)[0] not in subset
 
 
-def test_a_subset_follows_the_list_of_targets():
-    knowledge = _knowledge(200)
-    first = _choose(knowledge)[0]
-    knowledge.registry.drop({first: 1000}, now())
-    assert first not in {_choose(knowledge)[0] for _ in range(100)}
+def test_subset_follows_list_of_targets():
+    host_state = _host_state(200)
+    first = _choose(host_state)[0]
+    host_state.registry.drop({first: 1000}, now())
+    assert first not in {_choose(host_state)[0] for _ in range(100)}
 
 
 class _SteadyRate:
-    """Ten sends a second."""
+    """A constant rate of ten sends per second."""
 
     def note(self, at):
         return 10.0
 
 
-def _usable(knowledge):
-    return knowledge.registry.usable("act")
-
+def _usable(host_state):
+    return host_state.registry.usable("act")
 
-@pytest.mark.parametrize("is_cut_off", [False, True])
-def test_a_trial_goes_over_a_path_that_holds(is_cut_off):
-    """
-    Trials that should find out whether a target is sound again end in silence.
 
-    The host's own path to it is cut, so it can learn nothing of the target.
-    """
-    knowledge = _knowledge(4, off=frozenset())
+@pytest.mark.parametrize("is_path_broken", [False, True])
+def test_trial_avoids_broken_path(is_path_broken):
+    """Guards against trials that a broken path keeps from reaching the target."""
+    host_state = _host_state(4, disabled=frozenset())
     at = now()
     for target_id in ("t0", "t1", "t2"):
-        knowledge.shared.note_send_start(target_id, at)
-    if is_cut_off:
-        knowledge.shared.note_outcome(
+        host_state.shared.note_send_start(target_id, at)
+    if is_path_broken:
+        host_state.shared.note_outcome(
             "t3", "act", "r", HealthSignal.UNREACHABLE, 0.3, at
         )
-    chosen, rule = _choose(knowledge)
-    assert (chosen == "t3" and rule is ChoiceRule.FLOOR_TRIAL) is not is_cut_off
+    chosen, rule = _choose(host_state)
+    assert (chosen == "t3" and rule is ChoiceRule.FLOOR_TRIAL) is not is_path_broken
