--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
@@ -112,7 +112,11 @@
             incarnation: t for incarnation, t in restarted if at - t < UNRESOLVED_TTL
         }
         suspects = self._knowledge.shared.suspects
-        for incarnation in {i for i, _ in self._unresolved if suspects.has_crashed(i)}:
+        for incarnation in {
+            incarnation
+            for incarnation, _ in self._unresolved
+            if suspects.has_crashed(incarnation)
+        }:
             self._record_crashes(incarnation, self._pop_unresolved(incarnation))
         self._log_held(at)
 
