--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/link.py
@@ -85,7 +85,7 @@
         finally:
             self._waiter = None
 
-    async def read_body(self, max_bytes):
+    async def wait_for_body(self, max_bytes):
         """Wait until the response has ended or its body exceeds `max_bytes`."""
         while self.outcome is None and len(self.body) <= max_bytes:
             await self.wait()
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
@@ -113,10 +113,10 @@
         try:
             if ask.rest is not None:
                 sending = asyncio.ensure_future(_send_body(link, ask))
-                await exchange.read_body(HELD_MOST)
+                await exchange.wait_for_body(HELD_MOST)
                 sending.cancel()
             else:
-                await exchange.read_body(HELD_MOST)
+                await exchange.wait_for_body(HELD_MOST)
             if exchange.outcome is None and exchange.has_head:
                 fate, reply = judge_head(exchange, Rest(exchange, link))
                 is_done = fate is SendOutcome.SUCCEEDED
