--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
@@ -21,7 +21,7 @@
 
 from ..platform.store import Page, StoreError
 from .clock import now
-from .gate import TOLD_FOR
+from .gate import READER_STATUS_TTL
 
 log = logging.getLogger("store")
 # Seconds that a read waits for news, drawn anew for each read. Readers pass on that it
@@ -102,7 +102,7 @@
         self._on_changes = on_changes
         self._on_read = None
         self._rng = rng
-        self._pace = pace or Pace(WAIT_LEAST, WAIT_MOST, TOLD_FOR)
+        self._pace = pace or Pace(WAIT_LEAST, WAIT_MOST, READER_STATUS_TTL)
         self._next = None
         self._reading = None
         self._behind_since = None
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
@@ -187,7 +187,7 @@
     A host serves an old configuration for good: both readers were killed, or woke from
     a freeze and said how far they were before it.
     """
-    monkeypatch.setattr(feed, "TOLD_FOR", 0.1)
+    monkeypatch.setattr(feed, "READER_STATUS_TTL", 0.1)
 
     async def run():
         async with _told() as (store, made, _):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/gate.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/gate.py
@@ -15,7 +15,7 @@
 # what a host must know is two seconds from a change. Both readers may hang when it is
 # made, on a store that is silent to them alone; then each host must ask for itself soon
 # enough. It is a read that waits, a slow store's answer and the way by the hub.
-TOLD_FOR = 1.6
+READER_STATUS_TTL = 1.6
 # A host whose call failed is no reader for this long (seconds), unless a later one is
 # answered. Others do the part meanwhile, and hosts that the store turns away do not
 # take it on by turns.
@@ -52,7 +52,7 @@
         """Return the host's `StoreStatus` by now."""
         if at - self._failed_at < AWAY_FOR:
             return StoreStatus.AWAY
-        if self.is_reader and at - self._answered_at < TOLD_FOR:
+        if self.is_reader and at - self._answered_at < READER_STATUS_TTL:
             return StoreStatus.READING
         return StoreStatus.TOLD
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
@@ -13,7 +13,7 @@
 from plumsaddle_core.ops.neighbours import StoreStatus
 from plumsaddle_hosts.edge.clock import now
 from plumsaddle_hosts.edge.feed import START_REST, WAIT_MOST
-from plumsaddle_hosts.edge.gate import TOLD_FOR
+from plumsaddle_hosts.edge.gate import READER_STATUS_TTL
 from plumsaddle_hosts.edge.peers import HUB_EVERY, START_ALONE_FOR
 from plumsaddle_hosts.platform.store import StoreError
 
@@ -71,8 +71,8 @@
     store that was silent to them alone, and the others trusted their last word for
     three seconds.
     """
-    assert WAIT_MOST + SLOW_ANSWER + HUB_EVERY < TOLD_FOR
-    assert TOLD_FOR + SLOW_ANSWER < KNOWN_WITHIN
+    assert WAIT_MOST + SLOW_ANSWER + HUB_EVERY < READER_STATUS_TTL
+    assert READER_STATUS_TTL + SLOW_ANSWER < KNOWN_WITHIN
     assert START_ALONE_FOR < START_REST
 
 
@@ -125,7 +125,7 @@
         for host in told:
             host.store.read = _hang
         await _drain_in_time(trial, trial.hosts)
-        await asyncio.sleep(TOLD_FOR)
+        await asyncio.sleep(READER_STATUS_TTL)
         assert all(feed._reading is None for host in told for feed in host._feeds)
 
 
