--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
@@ -15,7 +15,7 @@
 from . import feed
 from .clock import now as clock
 from .feed import Feed
-from .gate import Gate
+from .gate import StoreAccess
 
 
 @pytest.fixture(autouse=True)
@@ -43,7 +43,7 @@
 
 def _feed(store, away=None, is_reader=True):
     log = [] if away is None else away
-    gate = Gate(
+    gate = StoreAccess(
         lambda at: log.append("away"), lambda at: log.append("back"), lambda at: None
     )
     gate.set_reader(is_reader)
@@ -319,7 +319,7 @@
 
 
 def _seldom(store, start=0.2):
-    gate = Gate(lambda at: None, lambda at: None, lambda at: None)
+    gate = StoreAccess(lambda at: None, lambda at: None, lambda at: None)
     listed = []
     pace = feed.Pace(0.1, 0.2, 10.0, start)
     made = Feed(store, "t", gate, listed.append, listed.append, random.Random(1), pace)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/gate.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/gate.py
@@ -22,7 +22,7 @@
 AWAY_FOR = 10.0
 
 
-class Gate:
+class StoreAccess:
     """
     How a host stands to the store; one feed at a time asks a store that is away.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -32,7 +32,7 @@
 from .events import set_up_events
 from .feed import SELDOM, Feed
 from .front import Front
-from .gate import Gate
+from .gate import StoreAccess
 from .knowledge import HostState
 from .links import ConnectionPool
 from .metrics import EdgeMetrics
@@ -92,7 +92,7 @@
         self._store_session = make_session()
         self.store = Store(self._store_session, f"http://{settings.store_address}")
         registry = self.knowledge.registry
-        self.store_gate = gate = Gate(
+        self.store_gate = gate = StoreAccess(
             registry.note_store_unavailable,
             registry.note_store_available,
             registry.note_store_recovery,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -23,7 +23,7 @@
 from ..platform.store import KeyedRecord, Page
 from . import peers as module
 from .bundles import CLIENT_FOR
-from .gate import Gate
+from .gate import StoreAccess
 from .messages import Bundle, Records, Work, decode, unpack_records
 from .others import HUB_KNOWN_FOR
 from .peers import HUB_EVERY, START_ALONE_FOR, Peers
@@ -58,7 +58,7 @@
             name, centre, CENTRES, "", "", address, seeds, "", Bounds(), link
         )
         shared = SharedState(0.2, 10.0, started=-100.0)
-        gate = Gate(_ignore, _ignore, _ignore)
+        gate = StoreAccess(_ignore, _ignore, _ignore)
         peers = Peers(settings_, shared, gate, [], self._rng, self.call_later)
         peers.connection_made(_Transport(self, address))
         self.hosts[address] = peers
@@ -308,7 +308,7 @@
     again.__init__(
         peers._settings,
         fresh,
-        Gate(_ignore, _ignore, _ignore),
+        StoreAccess(_ignore, _ignore, _ignore),
         [],
         random.Random(1),
         net.call_later,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored_test.py
@@ -12,7 +12,7 @@
 
 from ..platform.store import KeyedRecord, Page, StoreError
 from .clock import now
-from .gate import Gate
+from .gate import StoreAccess
 from .stored import TOPIC, Record, StoredSuspects
 
 
@@ -30,7 +30,7 @@
 
 def _make(*answers, is_reader=False):
     suspects, store = SuspectRequests(), ScriptedStore(*answers)
-    gate = Gate(lambda at: None, lambda at: None, lambda at: None)
+    gate = StoreAccess(lambda at: None, lambda at: None, lambda at: None)
     gate.set_reader(is_reader)
     return StoredSuspects(store, suspects, gate), suspects, store
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
@@ -26,7 +26,7 @@
 from plumsaddle_core.ops.suspects import RunRecord
 from plumsaddle_core.ops.zone import SharedState
 from plumsaddle_hosts.edge import peers as module
-from plumsaddle_hosts.edge.gate import Gate
+from plumsaddle_hosts.edge.gate import StoreAccess
 from plumsaddle_hosts.edge.peers import Peers
 
 SIZES = (12, 45, 60, 100)
@@ -112,7 +112,7 @@
             link,
         )
         shared = SharedState(0.2, 10.0, started=0.0)
-        gate = Gate(_ignore, _ignore, _ignore)
+        gate = StoreAccess(_ignore, _ignore, _ignore)
         peers = Peers(settings, shared, gate, [], self._rng, self._call_later)
         if not has_hub:
             peers._peer_table.pick_hub = lambda at: False
