--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
@@ -231,7 +231,7 @@
         await _settle()
         store.answers.put_nowait(Failure(StoreError.BUSY))
         await _settle()
-        assert made.gate.contact(clock()) is StoreStatus.AWAY
+        assert made.gate.status(clock()) is StoreStatus.AWAY
         made.take_page(10, [RECORD], 11, clock())
         await asyncio.sleep(0.1)
         assert taken[1:] == [Page([RECORD], 11)]
@@ -239,7 +239,7 @@
         assert store.listings == 1
         assert len(store.reads) == 1
         # It does not know of itself that the store is back, so it is no reader yet.
-        assert made.gate.contact(clock()) is StoreStatus.AWAY
+        assert made.gate.status(clock()) is StoreStatus.AWAY
         assert made.gate.returned_at < clock() - 1000.0
         task.cancel()
 
@@ -415,7 +415,7 @@
         assert made._reading is None
         assert len(store.reads) == 1
         # The store was not lost by this.
-        assert made.gate.contact(clock()) is StoreStatus.TOLD
+        assert made.gate.status(clock()) is StoreStatus.TOLD
         task.cancel()
 
     asyncio.run(run())
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/gate.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/gate.py
@@ -48,7 +48,7 @@
         # Whether it is among the first that ask a store that is away for all.
         self.is_first_asker = True
 
-    def contact(self, at):
+    def status(self, at):
         """Return the host's `StoreStatus` by now."""
         if at - self._failed_at < AWAY_FOR:
             return StoreStatus.AWAY
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
@@ -34,7 +34,7 @@
 
     def contact(self, at):
         """Return how this host stands to the store, as a `StoreStatus`."""
-        return self._gate.contact(at)
+        return self._gate.status(at)
 
     def update(self, may_read, at):
         """
@@ -44,7 +44,7 @@
           may_read: Whether this host may be a reader at all by now.
           at: The present, in seconds.
         """
-        contact = self._gate.contact(at)
+        contact = self._gate.status(at)
         is_reader = may_read and self._peer_table.is_reader(contact, at)
         self._gate.is_first_asker = self._peer_table.is_first_asker(at)
         if self._gate.set_reader(is_reader):
@@ -67,7 +67,7 @@
           By topic the next offset, and how many seconds ago the store said so; nothing
           unless this host is a reader that the store answers.
         """
-        if self._gate.contact(at) is not StoreStatus.READING:
+        if self._gate.status(at) is not StoreStatus.READING:
             return {}
         return {
             topic: (feed.next_offset, max(0.0, at - feed.said_at))
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
@@ -142,7 +142,7 @@
         trial.store.fault = Fault.BUSY
         await asyncio.sleep(3.0)
         assert all(
-            host.store_gate.contact(now()) is StoreStatus.AWAY for host in trial.hosts
+            host.store_gate.status(now()) is StoreStatus.AWAY for host in trial.hosts
         )
         trial.store.fault = Fault.NONE
         trial.store.calls.clear()
