--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
@@ -240,7 +240,7 @@
         assert len(store.reads) == 1
         # It does not know of itself that the store is back, so it is no reader yet.
         assert made.gate.status(clock()) is StoreStatus.AWAY
-        assert made.gate.returned_at < clock() - 1000.0
+        assert made.gate.recovered_at < clock() - 1000.0
         task.cancel()
 
     asyncio.run(run())
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/gate.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/gate.py
@@ -42,7 +42,7 @@
         self._answered_at = -math.inf
         self.has_answered = False
         # When the store came back for this host, in seconds.
-        self.returned_at = -math.inf
+        self.recovered_at = -math.inf
         # Whether this host follows the store for the others.
         self.is_reader = False
         # Whether it is among the first that ask a store that is away for all.
@@ -71,7 +71,7 @@
         """Take note of a call without an answer."""
         self._failed_at = at
 
-    def note_returned(self, returned_at):
+    def note_recovery(self, returned_at):
         """Take from another host when the store came back for it."""
         self._on_returned(returned_at)
 
@@ -102,7 +102,7 @@
                 if self.has_answered:
                     # Else others follow the store for this host again, and it knows
                     # only from them when it came back.
-                    self.returned_at = at
+                    self.recovered_at = at
                 self._on_back(at)
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
@@ -77,7 +77,7 @@
 
     def returned(self, at):
         """Return how many seconds ago the store came back for this host."""
-        return min(RETURNED_MOST, max(0.0, at - self._gate.returned_at))
+        return min(RETURNED_MOST, max(0.0, at - self._gate.recovered_at))
 
     def tell_records(self, topic, page):
         """
@@ -105,13 +105,13 @@
         if feed is None:
             return
         records = unpack_records(message.packed)
-        self._gate.note_returned(at - message.returned)
+        self._gate.note_recovery(at - message.returned)
         feed.take_page(message.start, records, message.next, at)
 
     def take_beat(self, beat, at):
         """Take what a beat says of the store."""
         if beat.contact is StoreStatus.READING:
-            self._gate.note_returned(at - beat.returned)
+            self._gate.note_recovery(at - beat.returned)
         for topic, (offset, age) in beat.read.items():
             if topic in self._feeds:
                 self._feeds[topic].note_reader(offset, age, at)
