--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
@@ -194,7 +194,7 @@
         self._has_word = True
         self.wake()
 
-    def take_page(self, start, records, next_offset, at):
+    def apply_page(self, start, records, next_offset, at):
         """
         Take changes that a reader has read.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
@@ -148,12 +148,12 @@
     async def run():
         async with _told() as (store, made, taken):
             assert len(store.reads) == 1
-            made.take_page(10, [RECORD], 11, clock())
+            made.apply_page(10, [RECORD], 11, clock())
             await _settle()
             assert taken[1:] == [Page([RECORD], 11)]
             # The same from the other reader, and a former word that comes late.
-            made.take_page(10, [RECORD], 11, clock())
-            made.take_page(9, [RECORD._replace(offset=9)], 10, clock())
+            made.apply_page(10, [RECORD], 11, clock())
+            made.apply_page(9, [RECORD._replace(offset=9)], 10, clock())
             assert len(taken) == 2
             assert len(store.reads) == 1
 
@@ -178,7 +178,7 @@
             assert taken[1:] == [Page([RECORD], 12)]
 
     later = RECORD._replace(offset=11)
-    asyncio.run(run(lambda made: made.take_page(11, [later], 12, clock())))
+    asyncio.run(run(lambda made: made.apply_page(11, [later], 12, clock())))
     asyncio.run(run(lambda made: made.note_reader(12, 0.0, clock())))
 
 
@@ -232,7 +232,7 @@
         store.answers.put_nowait(Failure(StoreError.BUSY))
         await _settle()
         assert made.gate.status(clock()) is StoreStatus.AWAY
-        made.take_page(10, [RECORD], 11, clock())
+        made.apply_page(10, [RECORD], 11, clock())
         await asyncio.sleep(0.1)
         assert taken[1:] == [Page([RECORD], 11)]
         assert away == ["away", "back"]
@@ -257,7 +257,7 @@
         made, taken = _feed(store)
         task = asyncio.ensure_future(made.run())
         await _settle()
-        made.take_page(10, [RECORD], 11, clock())
+        made.apply_page(10, [RECORD], 11, clock())
         newer = RECORD._replace(offset=11)
         store.answers.put_nowait(Success(Page([RECORD, newer], 12)))
         await _settle()
@@ -281,7 +281,7 @@
         task = asyncio.ensure_future(made.run())
         await _settle()
         made.note_reader(10, 0.0, clock())
-        made.take_page(10, [RECORD], 11, clock())
+        made.apply_page(10, [RECORD], 11, clock())
         await asyncio.sleep(0.1)
         assert (store.listings, store.reads) == (1, [])
         assert taken[1:] == [Page([RECORD], 11)]
@@ -307,7 +307,7 @@
         await _settle()
         store.answers.put_nowait(Failure(StoreError.BUSY))
         await _settle()
-        made.take_page(10, [RECORD], 11, clock())
+        made.apply_page(10, [RECORD], 11, clock())
         later = RECORD._replace(offset=11)
         store.answers.put_nowait(Success(Page([later], 12)))
         await asyncio.sleep(0.05)
@@ -341,7 +341,7 @@
         assert store.listings == 0
         assert made.next_offset == 0
         # What is written from now on is taken as from the beginning.
-        made.take_page(0, [KeyedRecord(0, "a", b"1")], 1, clock())
+        made.apply_page(0, [KeyedRecord(0, "a", b"1")], 1, clock())
         assert made.next_offset == 1
         task.cancel()
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
@@ -106,7 +106,7 @@
             return
         records = unpack_records(message.packed)
         self._gate.note_recovery(at - message.returned)
-        feed.take_page(message.start, records, message.next, at)
+        feed.apply_page(message.start, records, message.next, at)
 
     def take_beat(self, beat, at):
         """Take what a beat says of the store."""
