--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
@@ -154,7 +154,7 @@
 
     # What other hosts say.
 
-    def note_reader(self, offset, age, at):
+    def note_reader_offset(self, offset, age, at):
         """
         Take how far the store has told a reader that its log goes.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
@@ -60,7 +60,7 @@
     task = asyncio.ensure_future(made.run())
     await _settle()
     store.answers.put_nowait(Success(Page([], 10)))
-    made.note_reader(10, 0.0, clock())
+    made.note_reader_offset(10, 0.0, clock())
     await _settle()
     yield store, made, taken
     task.cancel()
@@ -85,12 +85,12 @@
         made, _ = _feed(store)
         task = asyncio.ensure_future(made.run())
         await _settle()
-        made.note_reader(10, 0.0, 100.0)
-        made.note_reader(12, 0.0, 101.0)
-        made.note_reader(12, 0.0, 101.0 + feed.BEHIND_FOR / 2)
+        made.note_reader_offset(10, 0.0, 100.0)
+        made.note_reader_offset(12, 0.0, 101.0)
+        made.note_reader_offset(12, 0.0, 101.0 + feed.BEHIND_FOR / 2)
         await _settle()
         assert len(store.reads) == 1
-        made.note_reader(12, 0.0, 101.1 + feed.BEHIND_FOR)
+        made.note_reader_offset(12, 0.0, 101.1 + feed.BEHIND_FOR)
         await asyncio.sleep(0.05)
         assert [wait for _, wait in store.reads][1:] == [0.0]
         task.cancel()
@@ -179,7 +179,7 @@
 
     later = RECORD._replace(offset=11)
     asyncio.run(run(lambda made: made.apply_page(11, [later], 12, clock())))
-    asyncio.run(run(lambda made: made.note_reader(12, 0.0, clock())))
+    asyncio.run(run(lambda made: made.note_reader_offset(12, 0.0, clock())))
 
 
 def test_a_host_reads_for_itself_when_no_reader_is_heard(monkeypatch):
@@ -192,7 +192,7 @@
     async def run():
         async with _told() as (store, made, _):
             assert len(store.reads) == 1
-            made.note_reader(10, 5.0, clock())
+            made.note_reader_offset(10, 5.0, clock())
             await asyncio.sleep(0.15)
             assert len(store.reads) == 2
 
@@ -280,7 +280,7 @@
         made, taken = _feed(store, is_reader=False)
         task = asyncio.ensure_future(made.run())
         await _settle()
-        made.note_reader(10, 0.0, clock())
+        made.note_reader_offset(10, 0.0, clock())
         made.apply_page(10, [RECORD], 11, clock())
         await asyncio.sleep(0.1)
         assert (store.listings, store.reads) == (1, [])
@@ -336,7 +336,7 @@
         made, _, _ = _seldom(store)
         task = asyncio.ensure_future(made.run())
         await asyncio.sleep(0.05)
-        made.note_reader(0, 0.0, clock())
+        made.note_reader_offset(0, 0.0, clock())
         await asyncio.sleep(0.4)
         assert store.listings == 0
         assert made.next_offset == 0
@@ -362,7 +362,7 @@
         task = asyncio.ensure_future(made.run())
         await asyncio.sleep(0.01)
         if word is not None:
-            made.note_reader(word, 0.0, clock())
+            made.note_reader_offset(word, 0.0, clock())
         await asyncio.sleep(0.4 if word is None else 0.05)
         assert store.listings == 1
         assert len(listed) == 1
@@ -410,7 +410,7 @@
         await asyncio.sleep(0.05)
         assert len(store.reads) == 1
         made.gate.set_reader(False)
-        made.note_reader(made.next_offset, 0.0, clock())
+        made.note_reader_offset(made.next_offset, 0.0, clock())
         await asyncio.sleep(0.05)
         assert made._reading is None
         assert len(store.reads) == 1
@@ -435,7 +435,7 @@
         task = asyncio.ensure_future(made.run())
         await asyncio.sleep(0.01)
         at = clock()
-        made.note_reader(0, 1.0, at)
+        made.note_reader_offset(0, 1.0, at)
         await asyncio.sleep(0.01)
         assert made.answered_at is None
         assert made.said_at == at - 1.0
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
@@ -114,4 +114,4 @@
             self._gate.note_recovery(at - beat.returned)
         for topic, (offset, age) in beat.read.items():
             if topic in self._feeds:
-                self._feeds[topic].note_reader(offset, age, at)
+                self._feeds[topic].note_reader_offset(offset, age, at)
