--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
@@ -116,7 +116,7 @@
         # When the store last said how far the topic goes, to this host or to a reader.
         # A new reader's own read may wait long before it is answered; until then it
         # passes on what it was told, else all hosts would ask for themselves.
-        self.said_at = -math.inf
+        self.confirmed_at = -math.inf
 
     def subscribe(self, on_read):
         """
@@ -141,7 +141,7 @@
 
         It is infinite for a host that knows that it has missed something.
         """
-        return math.inf if self._behind_since is not None else at - self.said_at
+        return math.inf if self._behind_since is not None else at - self.confirmed_at
 
     def wake(self):
         """Look again whether to read; the host has become a reader, or is none now."""
@@ -171,7 +171,7 @@
             return
         if offset <= self._next:
             self._told_at = max(self._told_at, at - age)
-            self.said_at = max(self.said_at, at - age)
+            self.confirmed_at = max(self.confirmed_at, at - age)
             self.wake()
             return
         if self._behind_since is None:
@@ -190,7 +190,7 @@
             return
         if offset == 0:
             self._next = 0
-            self._told_at = self.said_at = told_at
+            self._told_at = self.confirmed_at = told_at
         self._has_word = True
         self.wake()
 
@@ -211,7 +211,7 @@
             self._behind_since = self._behind_since or at
             self.wake()
             return
-        self._told_at = self.said_at = at
+        self._told_at = self.confirmed_at = at
         self._take(Page(records, next_offset))
         self.wake()
 
@@ -247,7 +247,7 @@
                 continue
             page = result.unwrap()
             is_start = self.answered_at is None
-            self.answered_at = self.said_at = now()
+            self.answered_at = self.confirmed_at = now()
             self.gate.note_answer(self.answered_at)
             if self._next is None:
                 self._next = page.next_offset
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
@@ -438,7 +438,7 @@
         made.note_reader_offset(0, 1.0, at)
         await asyncio.sleep(0.01)
         assert made.answered_at is None
-        assert made.said_at == at - 1.0
+        assert made.confirmed_at == at - 1.0
         task.cancel()
 
     asyncio.run(run())
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
@@ -70,9 +70,9 @@
         if self._gate.status(at) is not StoreStatus.READING:
             return {}
         return {
-            topic: (feed.next_offset, max(0.0, at - feed.said_at))
+            topic: (feed.next_offset, max(0.0, at - feed.confirmed_at))
             for topic, feed in self._feeds.items()
-            if feed.said_at > -math.inf
+            if feed.confirmed_at > -math.inf
         }
 
     def returned(self, at):
