--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -92,7 +92,7 @@
         self._store_session = make_session()
         self.store = Store(self._store_session, f"http://{settings.store_address}")
         registry = self.knowledge.registry
-        self.store_gate = gate = StoreAccess(
+        self.store_access = gate = StoreAccess(
             registry.note_store_unavailable,
             registry.note_store_available,
             registry.note_store_recovery,
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_keys_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_keys_test.py
@@ -269,10 +269,12 @@
     """
     async with Trial(services=("look",), hosts=4) as trial:
         await _publish_and_wait(trial, 2)
-        await until(lambda: sum(host.store_gate.is_reader for host in trial.hosts) == 2)
+        await until(
+            lambda: sum(host.store_access.is_reader for host in trial.hosts) == 2
+        )
         await asyncio.sleep(feed.WAIT_MOST + feed.REST)
         number = next(
-            n for n, host in enumerate(trial.hosts) if not host.store_gate.is_reader
+            n for n, host in enumerate(trial.hosts) if not host.store_access.is_reader
         )
         host = trial.hosts[number]
         if is_store_lost:
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_quota_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_quota_test.py
@@ -112,7 +112,7 @@
         hosts = trial.hosts
         decisions = [
             host.knowledge.shared.quotas.acquire(
-                host.knowledge.cfg.workspaces[0], host.store_gate._answered_at
+                host.knowledge.cfg.workspaces[0], host.store_access._answered_at
             )
             for host in hosts
         ]
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
@@ -28,7 +28,7 @@
 
 
 def _readers(trial):
-    return [host for host in trial.hosts if host.store_gate.is_reader]
+    return [host for host in trial.hosts if host.store_access.is_reader]
 
 
 async def _settle(trial):
@@ -103,7 +103,7 @@
             await _freeze(host)
         well = [host for host in trial.hosts if host not in lost]
         await _drain_in_time(trial, well)
-        await until(lambda: sum(host.store_gate.is_reader for host in well) == 2)
+        await until(lambda: sum(host.store_access.is_reader for host in well) == 2)
 
 
 @in_loop
@@ -111,7 +111,7 @@
     """A target that is leaving gets work from a host that hears nobody any more."""
     async with Trial(services=("act",), targets=2, hosts=HOSTS) as trial:
         await _settle(trial)
-        alone = next(host for host in trial.hosts if not host.store_gate.is_reader)
+        alone = next(host for host in trial.hosts if not host.store_access.is_reader)
         alone.peers.close()
         await _drain_in_time(trial, trial.hosts)
 
@@ -121,7 +121,7 @@
     """Hundreds of hosts make a call to the store a second each."""
     async with Trial(services=("act",), targets=2, hosts=HOSTS) as trial:
         await _settle(trial)
-        told = [host for host in trial.hosts if not host.store_gate.is_reader]
+        told = [host for host in trial.hosts if not host.store_access.is_reader]
         for host in told:
             host.store.read = _hang
         await _drain_in_time(trial, trial.hosts)
@@ -142,7 +142,7 @@
         trial.store.fault = Fault.BUSY
         await asyncio.sleep(3.0)
         assert all(
-            host.store_gate.status(now()) is StoreStatus.AWAY for host in trial.hosts
+            host.store_access.status(now()) is StoreStatus.AWAY for host in trial.hosts
         )
         trial.store.fault = Fault.NONE
         trial.store.calls.clear()
