--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
@@ -97,7 +97,7 @@
     def __init__(self, store, topic, gate, on_listing, on_changes, rng, pace=None):
         self._store = store
         self._topic = topic
-        self.gate = gate
+        self.store_access = gate
         self._on_listing = on_listing
         self._on_changes = on_changes
         self._on_read = None
@@ -225,7 +225,7 @@
 
     def _is_told(self, at):
         """Whether others follow the store for this host."""
-        if self._next is None or self.gate.is_reader:
+        if self._next is None or self.store_access.is_reader:
             return False
         if self._behind_since is not None and at - self._behind_since >= MISSED_FOR:
             return False
@@ -248,7 +248,7 @@
             page = result.unwrap()
             is_start = self.answered_at is None
             self.answered_at = self.confirmed_at = now()
-            self.gate.note_answer(self.answered_at)
+            self.store_access.note_answer(self.answered_at)
             if self._next is None:
                 self._next = page.next_offset
                 self._behind_since = None
@@ -265,7 +265,7 @@
     async def _wait_at_start(self):
         """Wait whether a reader says that there is nothing to list."""
         until = now() + self._pace.start
-        while not (self._has_word or self.gate.is_reader) and now() < until:
+        while not (self._has_word or self.store_access.is_reader) and now() < until:
             await self._wait_until(until)
 
     async def _wait_while_told(self):
@@ -290,7 +290,7 @@
 
         It is None if others follow the store for this host by then.
         """
-        self._reads_for_all = self.gate.is_reader
+        self._reads_for_all = self.store_access.is_reader
         self._is_given_up = False
         self._reading = asyncio.get_running_loop().create_task(
             self._call(self._draw_wait())
@@ -331,8 +331,8 @@
         It is None if others follow the store for this host by then.
         """
         pause = PAUSE_FIRST
-        async with self.gate.hold(self._topic, error):
-            if self.gate.has_answered:
+        async with self.store_access.hold(self._topic, error):
+            if self.store_access.has_answered:
                 # Another feed has just found the store back; no need to wait again.
                 pause = 0.0
             while True:
@@ -342,15 +342,17 @@
                     )
                     self._next = None
                 else:
-                    self.gate.note_failure(now())
+                    self.store_access.note_failure(now())
                     spread = self._rng.uniform(1 - PAUSE_SPREAD, 1 + PAUSE_SPREAD)
                     await asyncio.sleep(pause * spread)
-                    most = PAUSE_MOST if self.gate.is_first_asker else PAUSE_OTHERS
+                    most = (
+                        PAUSE_MOST if self.store_access.is_first_asker else PAUSE_OTHERS
+                    )
                     pause = min(most, max(PAUSE_FIRST, pause * 2))
                 if self._is_told(now()):
                     return None
                 result = await self._call(0.0)
                 if not isinstance(result, Failure):
-                    self.gate.has_answered = True
+                    self.store_access.has_answered = True
                     return result
                 error = result.failure()
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
@@ -207,7 +207,7 @@
 
     async def run():
         async with _told() as (store, made, _):
-            made.gate.set_reader(True)
+            made.store_access.set_reader(True)
             made.wake()
             await _settle()
             assert len(store.reads) == 2
@@ -231,7 +231,7 @@
         await _settle()
         store.answers.put_nowait(Failure(StoreError.BUSY))
         await _settle()
-        assert made.gate.status(clock()) is StoreStatus.AWAY
+        assert made.store_access.status(clock()) is StoreStatus.AWAY
         made.apply_page(10, [RECORD], 11, clock())
         await asyncio.sleep(0.1)
         assert taken[1:] == [Page([RECORD], 11)]
@@ -239,8 +239,8 @@
         assert store.listings == 1
         assert len(store.reads) == 1
         # It does not know of itself that the store is back, so it is no reader yet.
-        assert made.gate.status(clock()) is StoreStatus.AWAY
-        assert made.gate.recovered_at < clock() - 1000.0
+        assert made.store_access.status(clock()) is StoreStatus.AWAY
+        assert made.store_access.recovered_at < clock() - 1000.0
         task.cancel()
 
     asyncio.run(run())
@@ -405,17 +405,17 @@
     async def run():
         store = ScriptedStore()
         made, away, _ = _seldom(store)
-        made.gate.set_reader(True)
+        made.store_access.set_reader(True)
         task = asyncio.ensure_future(made.run())
         await asyncio.sleep(0.05)
         assert len(store.reads) == 1
-        made.gate.set_reader(False)
+        made.store_access.set_reader(False)
         made.note_reader_offset(made.next_offset, 0.0, clock())
         await asyncio.sleep(0.05)
         assert made._reading is None
         assert len(store.reads) == 1
         # The store was not lost by this.
-        assert made.gate.status(clock()) is StoreStatus.TOLD
+        assert made.store_access.status(clock()) is StoreStatus.TOLD
         task.cancel()
 
     asyncio.run(run())
