--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
@@ -26,8 +26,8 @@
 log = logging.getLogger("store")
 # Seconds that a read waits for news, drawn anew for each read. Readers pass on that it
 # was answered, so this is also how often the other hosts hear that they know all.
-WAIT_LEAST = 0.8
-WAIT_MOST = 1.0
+MIN_READ_WAIT = 0.8
+MAX_READ_WAIT = 1.0
 # The same of a topic in which hardly anything is ever written and whose news hosts tell
 # each other by datagrams besides. A read that waits is answered at once when there is
 # news, so only a reader's loss is noticed later. It saves nine calls of ten.
@@ -102,7 +102,7 @@
         self._on_changes = on_changes
         self._on_read = None
         self._rng = rng
-        self._pace = pace or Pace(WAIT_LEAST, WAIT_MOST, READER_STATUS_TTL)
+        self._pace = pace or Pace(MIN_READ_WAIT, MAX_READ_WAIT, READER_STATUS_TTL)
         self._next = None
         self._reading = None
         self._behind_since = None
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
@@ -12,7 +12,7 @@
 from plumsaddle_core.core.traffic import TargetState
 from plumsaddle_core.ops.neighbours import StoreStatus
 from plumsaddle_hosts.edge.clock import now
-from plumsaddle_hosts.edge.feed import START_REST, WAIT_MOST
+from plumsaddle_hosts.edge.feed import START_REST, MAX_READ_WAIT
 from plumsaddle_hosts.edge.gate import READER_STATUS_TTL
 from plumsaddle_hosts.edge.peers import HUB_EVERY, START_ALONE_FOR
 from plumsaddle_hosts.platform.store import StoreError
@@ -35,7 +35,7 @@
     """Wait until two hosts read and the others are told by them."""
     await asyncio.sleep(START_REST)
     await until(lambda: len(_readers(trial)) == 2)
-    await asyncio.sleep(WAIT_MOST + HUB_EVERY)
+    await asyncio.sleep(MAX_READ_WAIT + HUB_EVERY)
 
 
 async def _hang(*args):
@@ -71,7 +71,7 @@
     store that was silent to them alone, and the others trusted their last word for
     three seconds.
     """
-    assert WAIT_MOST + SLOW_ANSWER + HUB_EVERY < READER_STATUS_TTL
+    assert MAX_READ_WAIT + SLOW_ANSWER + HUB_EVERY < READER_STATUS_TTL
     assert READER_STATUS_TTL + SLOW_ANSWER < KNOWN_WITHIN
     assert START_ALONE_FOR < START_REST
 
