--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
@@ -44,7 +44,7 @@
 # A host's own first listing counts as told for this long, in seconds. By then it has
 # heard of the readers and need not read at all. A host that has started is given three
 # seconds before it must know of each change.
-START_REST = 2.2
+FIRST_LISTING_TTL = 2.2
 # Pauses between calls while the store is away, in seconds; each is varied by a part, so
 # that hosts do not ask in step. Hosts that are not readers ask less often, since the
 # first reader that is answered tells them; a change made after the return must be known
@@ -254,7 +254,9 @@
                 self._behind_since = None
                 self._on_listing(page)
                 if is_start:
-                    self._told_at = self.answered_at + START_REST - self._pace.told_for
+                    self._told_at = (
+                        self.answered_at + FIRST_LISTING_TTL - self._pace.told_for
+                    )
                 continue
             self._take(page)
             if self._on_read is not None:
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
@@ -21,7 +21,7 @@
 @pytest.fixture(autouse=True)
 def no_rest_at_start(monkeypatch):
     """Let a feed read at once after its first listing."""
-    monkeypatch.setattr(feed, "START_REST", -1.0)
+    monkeypatch.setattr(feed, "FIRST_LISTING_TTL", -1.0)
 
 
 class ScriptedStore:
@@ -273,7 +273,7 @@
 
     Each read both topics before it had heard that others do.
     """
-    monkeypatch.setattr(feed, "START_REST", 0.5)
+    monkeypatch.setattr(feed, "FIRST_LISTING_TTL", 0.5)
 
     async def run():
         store = ScriptedStore()
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
@@ -12,7 +12,7 @@
 from plumsaddle_core.core.traffic import TargetState
 from plumsaddle_core.ops.neighbours import StoreStatus
 from plumsaddle_hosts.edge.clock import now
-from plumsaddle_hosts.edge.feed import START_REST, MAX_READ_WAIT
+from plumsaddle_hosts.edge.feed import FIRST_LISTING_TTL, MAX_READ_WAIT
 from plumsaddle_hosts.edge.gate import READER_STATUS_TTL
 from plumsaddle_hosts.edge.peers import HUB_EVERY, START_ALONE_FOR
 from plumsaddle_hosts.platform.store import StoreError
@@ -33,7 +33,7 @@
 
 async def _settle(trial):
     """Wait until two hosts read and the others are told by them."""
-    await asyncio.sleep(START_REST)
+    await asyncio.sleep(FIRST_LISTING_TTL)
     await until(lambda: len(_readers(trial)) == 2)
     await asyncio.sleep(MAX_READ_WAIT + HUB_EVERY)
 
@@ -73,7 +73,7 @@
     """
     assert MAX_READ_WAIT + SLOW_ANSWER + HUB_EVERY < READER_STATUS_TTL
     assert READER_STATUS_TTL + SLOW_ANSWER < KNOWN_WITHIN
-    assert START_ALONE_FOR < START_REST
+    assert START_ALONE_FOR < FIRST_LISTING_TTL
 
 
 @pytest.mark.parametrize("fault", [_hang, _refuse])
