--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
@@ -40,7 +40,7 @@
 SELDOM_START = 1.9
 # Rest after a page with changes. What a host knows may be 2 s old; the rest, a call on
 # a slow store and a retry must fit.
-REST = 0.8
+PAUSE_AFTER_PAGE = 0.8
 # A host's own first listing counts as told for this long, in seconds. By then it has
 # heard of the readers and need not read at all. A host that has started is given three
 # seconds before it must know of each change.
@@ -262,7 +262,7 @@
             if self._on_read is not None:
                 self._on_read(self._topic, page)
             if page.records:
-                await asyncio.sleep(REST)
+                await asyncio.sleep(PAUSE_AFTER_PAGE)
 
     async def _wait_at_start(self):
         """Wait whether a reader says that there is nothing to list."""
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_keys_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_keys_test.py
@@ -272,7 +272,7 @@
         await until(
             lambda: sum(host.store_access.is_reader for host in trial.hosts) == 2
         )
-        await asyncio.sleep(feed.MAX_READ_WAIT + feed.REST)
+        await asyncio.sleep(feed.MAX_READ_WAIT + feed.PAUSE_AFTER_PAGE)
         number = next(
             n for n, host in enumerate(trial.hosts) if not host.store_access.is_reader
         )
