--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -153,7 +153,7 @@
         # What was made while starting lives as long as the process.
         gc.freeze()
         await self.stop.wait()
-        await self.leave()
+        await self.drain()
 
     async def start(self):
         """Open the listeners and begin to follow the store."""
@@ -191,7 +191,7 @@
         log.info("stop", extra={"in_flight": self.front.in_flight})
         self.stop.set()
 
-    async def leave(self):
+    async def drain(self):
         """Serve on until the callers have turned away, then end what runs."""
         self.front.leave()
         deadline = now() + self.settings.bounds.grace - GRACE_MARGIN
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_faults_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_faults_test.py
@@ -82,7 +82,7 @@
 
 
 async def _leave(trial):
-    leaving = asyncio.ensure_future(trial.hosts[0].leave())
+    leaving = asyncio.ensure_future(trial.hosts[0].drain())
     trial.at_end(leaving)
 
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
@@ -542,7 +542,7 @@
         trial.workers["up-0"].work = 1.0
         asked = asyncio.ensure_future(trial.ask("/up/a", "id-1", "POST", b"scan"))
         await asyncio.sleep(0.1)
-        leaving = asyncio.ensure_future(host.leave())
+        leaving = asyncio.ensure_future(host.drain())
         await asyncio.sleep(0.1)
         ready = f"http://{host.settings.readiness_address}/readyz"
         async with trial.session.get(ready) as resp:
@@ -573,7 +573,7 @@
         asked = asyncio.ensure_future(trial.ask(path, "id-1", method, left=9000))
         await asyncio.sleep(0.1)
         began = now()
-        await host.leave()
+        await host.drain()
         status, _, _ = await asked
         # It may have run, so nothing is promised.
         assert status == 502
@@ -591,7 +591,7 @@
     monkeypatch.setattr(front, "TAKE_FOR", 0.2)
     async with Trial(services=("up",), targets=1) as trial:
         host = trial.hosts[0]
-        leaving = asyncio.ensure_future(host.leave())
+        leaving = asyncio.ensure_future(host.drain())
         trial.at_end(leaving)
         assert (await trial.ask("/up/a", "id-1", "POST", b"scan"))[0] == 200
         await asyncio.sleep(0.3)
