--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -207,10 +207,10 @@
         if not is_quiet:
             self._relay.end_all()
             await asyncio.sleep(ANSWERED_WITHIN)
-        await self.shut()
+        await self.close()
         log.info("end", extra={"in_flight": self.front.in_flight})
 
-    async def shut(self):
+    async def close(self):
         """Close all that is open, at once."""
         for task in self._tasks:
             task.cancel()
--- a/packages/plumsaddle-standins/plumsaddle_standins/crashes.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/crashes.py
@@ -268,7 +268,7 @@
     async def _end_host(self, number):
         self._live.discard(number)
         self._disturb(number)
-        await self._trial.hosts[number].shut()
+        await self._trial.hosts[number].close()
 
     async def _start_host(self, number):
         seeds = [host.settings.peer_address for host in self._trial.hosts[:3]]
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_crash_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_crash_test.py
@@ -103,7 +103,7 @@
         assert ended == 3
         await until(lambda: trial.store.topic("keyed.suspects").newest)
         for host in trial.hosts:
-            await host.shut()
+            await host.close()
         late = await trial.add_host(2, seeds=[])
         suspects = late.knowledge.shared.suspects
         await until(lambda: len(suspects), KNOWN_AFTER)
--- a/packages/plumsaddle-standins/plumsaddle_standins/trial.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/trial.py
@@ -161,7 +161,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         for host in self.hosts:
-            await host.shut()
+            await host.close()
         for worker in self.workers.values():
             worker.stop()
         await self._runner.cleanup()
