--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -205,7 +205,7 @@
             await asyncio.sleep(LOOK_EVERY)
             is_quiet = not self.front.in_flight
         if not is_quiet:
-            self._relay.end_all()
+            self._relay.refuse_in_flight()
             await asyncio.sleep(ANSWERED_WITHIN)
         await self.close()
         log.info("end", extra={"in_flight": self.front.in_flight})
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -71,7 +71,7 @@
         self._endings = endings
         self._runs = set()
 
-    def end_all(self):
+    def refuse_in_flight(self):
         """
         Answer all requests that are under way, since the host ends.
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_rate_limit_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_rate_limit_test.py
@@ -294,7 +294,7 @@
     async with Trial(("act",), targets=1) as trial:
         answer = await ask_delayed(trial)
         host = trial.hosts[0]
-        host._relay.end_all()
+        host._relay.refuse_in_flight()
         assert (await answer)[0] == 503
         await asyncio.sleep(1.2)
         worker = trial.workers["act-0"]
