--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
@@ -75,7 +75,7 @@
         self._left_at = now()
 
     @property
-    def is_leaving(self):
+    def is_draining(self):
         """Whether the host was told to leave."""
         return self._left_at is not None
 
@@ -112,7 +112,7 @@
     async def _answer(self, request, started):
         """Return a `Reply` or a `Refusal`."""
         cfg = self._knowledge.cfg
-        if self.is_leaving and started - self._left_at > TAKE_FOR:
+        if self.is_draining and started - self._left_at > TAKE_FOR:
             return self._refuse(request, Cause.LEAVING, 0.0)
         if not self._knowledge.is_complete:
             return self._refuse(request, Cause.NO_CONFIGURATION, 0.5)
@@ -279,7 +279,7 @@
         if not request.content.is_eof():
             # The rest of the body would be taken for the next request.
             resp.force_close()
-        if self.is_leaving:
+        if self.is_draining:
             resp.force_close()
         return resp
 
@@ -293,7 +293,7 @@
             resp.content_length = int(length)
         else:
             resp.enable_chunked_encoding()
-        if self.is_leaving:
+        if self.is_draining:
             resp.force_close()
         is_whole = False
         try:
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -268,7 +268,7 @@
             return web.Response(body=text, headers=headers)
         if request.path != "/readyz":
             return web.Response(status=404)
-        is_ready = self.knowledge.is_complete and not self.front.is_leaving
+        is_ready = self.knowledge.is_complete and not self.front.is_draining
         return web.Response(status=200 if is_ready else 503)
 
 
