--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
@@ -70,7 +70,7 @@
         self._busy = set()
         self._left_at = None
 
-    def leave(self):
+    def drain(self):
         """Take requests for a while only, and close connections after their answers."""
         self._left_at = now()
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -193,7 +193,7 @@
 
     async def drain(self):
         """Serve on until the callers have turned away, then end what runs."""
-        self.front.leave()
+        self.front.drain()
         deadline = now() + self.settings.bounds.grace - GRACE_MARGIN
         await asyncio.sleep(min(LISTEN_ON, max(0.0, deadline - now())))
         self._servers[0].close()
