--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -293,7 +293,7 @@
         choice = self._choose_usable(
             service, usable, profile, excluded, has_connection, at
         )
-        if max_wait <= 0.0 or not self.limits.are_any or _is_final(choice):
+        if max_wait <= 0.0 or not self.limits.has_any or _is_final(choice):
             return choice
         delayed = self.limits.within(service, max_wait, at)
         if len(delayed) == len(usable):
@@ -332,7 +332,7 @@
             self._target_orders[service] = (self.registry.revision, order)
         hosts = self.shared.live_host_count()
         subset = order.subset(subset_size(len(order.local), hosts, rate))
-        if not self.limits.are_any:
+        if not self.limits.has_any:
             return subset
         incarnations = {target.incarnation for target in usable}
         return [target for target in subset if target.incarnation in incarnations]
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/limits.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/limits.py
@@ -40,7 +40,7 @@
         self._unreadable = set()
 
     @property
-    def are_any(self):
+    def has_any(self):
         """Whether any target names a limit."""
         return bool(self._limits.advertised)
 
