--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -289,13 +289,13 @@
         Returns:
           A `Choice`, or None if there is no target.
         """
-        usable = self.limits.within(service, 0.0, at)
+        usable = self.limits.admissible(service, 0.0, at)
         choice = self._choose_usable(
             service, usable, profile, excluded, has_connection, at
         )
         if max_wait <= 0.0 or not self.limits.has_any or _is_final(choice):
             return choice
-        delayed = self.limits.within(service, max_wait, at)
+        delayed = self.limits.admissible(service, max_wait, at)
         if len(delayed) == len(usable):
             return choice
         candidates = [target for target in delayed if target.id not in excluded]
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/limits.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/limits.py
@@ -48,7 +48,7 @@
         """Return the requests a second that a target takes, or None without a limit."""
         return self._limits.advertised.rate(target.incarnation)
 
-    def within(self, service, longest, at):
+    def admissible(self, service, longest, at):
         """
         Return the usable targets of a service whose limits leave room.
 
@@ -79,7 +79,7 @@
 
     def has_share(self, target, at):
         """Return whether this host may send to a target, at once or after a wait."""
-        within = self.within(target.service, math.inf, at)
+        within = self.admissible(target.service, math.inf, at)
         return any(other.incarnation == target.incarnation for other in within)
 
     def acquire(self, target, at):
