--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
@@ -36,7 +36,7 @@
 # Seconds after the call to leave for which requests are still taken. Callers come for
 # three seconds until the balancer has turned away; a long upload that is taken last
 # would outlast the grace and be cut.
-TAKE_FOR = 2.9
+DRAIN_ACCEPT_TIME = 2.9
 
 
 class Caller:
@@ -112,7 +112,7 @@
     async def _answer(self, request, started):
         """Return a `Reply` or a `Refusal`."""
         cfg = self._knowledge.cfg
-        if self.is_draining and started - self._left_at > TAKE_FOR:
+        if self.is_draining and started - self._left_at > DRAIN_ACCEPT_TIME:
             return self._refuse(request, Cause.LEAVING, 0.0)
         if not self._knowledge.is_complete:
             return self._refuse(request, Cause.NO_CONFIGURATION, 0.5)
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
@@ -588,7 +588,7 @@
     A caller's upload comes three seconds after SIGTERM, on a connection that the host
     still serves. It is taken, and is cut at the end of the grace.
     """
-    monkeypatch.setattr(front, "TAKE_FOR", 0.2)
+    monkeypatch.setattr(front, "DRAIN_ACCEPT_TIME", 0.2)
     async with Trial(services=("up",), targets=1) as trial:
         host = trial.hosts[0]
         leaving = asyncio.ensure_future(host.drain())
