--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/callers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/callers.py
@@ -1,8 +1,8 @@
 """
-The callers' connections: how long each may take and stay idle.
+Connections of callers: header and idle timeouts.
 
-The library reads requests and keeps connections; what follows the configuration in
-force is added here.
+aiohttp parses requests and manages connections. This module applies the timeouts of the
+current configuration.
 """
 
 import asyncio
@@ -10,39 +10,38 @@
 from aiohttp import web
 from aiohttp.web_protocol import RequestHandler
 
-# More than any configuration allows; the front checks the limits in force.
-PARSER_MOST = 131072
-# How long the rest of a refused body is read before its connection is closed: closing
-# with unread bytes resets it, and the caller would lose the refusal.
-LINGER = 2.0
-# Before a configuration is known, in seconds.
-IDLE_FIRST = 15.0
-TOO_SLOW = (
+# Above any configured limit on headers, which `Front` checks.
+MAX_PARSER_LINE = 131072
+# Seconds for which the rest of a refused body is read. Closing a connection with unread
+# bytes resets it, and the caller would not receive the response.
+LINGERING_TIME = 2.0
+# Idle timeout in seconds until a configuration is loaded.
+DEFAULT_IDLE_TIMEOUT = 15.0
+TIMEOUT_RESPONSE = (
     b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 )
 
 
 class CallerConnection(RequestHandler):
     """
-    One caller's connection, with a bound on the time that a request's head may take.
+    The connection of a caller, with a timeout for the head of a request.
 
-    A caller that sends half a head and stops holds a descriptor and memory for as long
-    as it likes: no request is under way, so neither the idle time nor a route's time
-    ends it. When bytes have come and the library goes on waiting for a request, they
-    belong to a head that is not whole. The rest of a refused body, which the library
-    reads without waiting for a request, is told apart by that. Empty lines between two
-    requests are no head.
+    Without it, a caller that sends an incomplete head would occupy the connection
+    indefinitely, since neither the idle timeout nor a route's timeout applies. The head
+    is incomplete if aiohttp still waits for a request after it has received data. While
+    aiohttp reads the rest of a refused body, it does not wait for one. Empty lines
+    between requests are ignored.
 
     Args:
-      server: The library's server.
-      header_timeout: The seconds that a head may take, or None for no bound.
-      on_slow: Called when a connection ends for that.
+      server: The aiohttp server.
+      header_timeout: The timeout in seconds, or None.
+      on_head_timeout: Called when the timeout closes the connection.
     """
 
-    def __init__(self, server, header_timeout, on_slow, **options):
+    def __init__(self, server, header_timeout, on_head_timeout, **options):
         super().__init__(server, **options)
         self._header_timeout = header_timeout
-        self._on_slow = on_slow
+        self._on_head_timeout = on_head_timeout
         self._head_timer = None
 
     def data_received(self, data):
@@ -50,17 +49,17 @@
         if not self._is_waiting():
             self._stop_timer()
             return
-        may_begin = self._head_timer is None and self._header_timeout is not None
-        if may_begin and data.strip(b"\r\n"):
+        may_start = self._head_timer is None and self._header_timeout is not None
+        if may_start and data.strip(b"\r\n"):
             loop = asyncio.get_running_loop()
-            self._head_timer = loop.call_later(self._header_timeout, self._end_slow)
+            self._head_timer = loop.call_later(self._header_timeout, self._on_timeout)
 
     def connection_lost(self, exc):
         self._stop_timer()
         super().connection_lost(exc)
 
     def _is_waiting(self):
-        """Return whether the library waits for the next request."""
+        """Return whether aiohttp waits for the next request."""
         return self._waiter is not None and not self._waiter.done()
 
     def _stop_timer(self):
@@ -68,22 +67,22 @@
             self._head_timer.cancel()
             self._head_timer = None
 
-    def _end_slow(self):
+    def _on_timeout(self):
         self._head_timer = None
         if self.transport is None or not self._is_waiting():
             return
-        self._on_slow()
-        self.transport.write(TOO_SLOW)
+        self._on_head_timeout()
+        self.transport.write(TIMEOUT_RESPONSE)
         self.force_close()
 
 
 class FrontServer(web.Server):
     """
-    The library's server, with an idle time that follows the configuration.
+    The aiohttp server for callers, with the timeouts of the current configuration.
 
     Args:
       front: The `Front`.
-      knowledge: The `HostState` with the limits in force.
+      knowledge: The `HostState`.
     """
 
     def __init__(self, front, knowledge):
@@ -93,11 +92,10 @@
 
     def close_idle(self):
         """
-        Close the connections on which no request is under way.
+        Close idle connections at once, and the others after their response.
 
-        The library's own way to shut down stops reading requests from idle
-        connections but leaves them open, so a request that came next would be taken
-        and never answered.
+        The shutdown of aiohttp leaves idle connections open without reading from them,
+        so a further request would never be answered.
         """
         for conn in self.connections:
             if self._front.is_busy(conn.transport):
@@ -110,12 +108,12 @@
         return CallerConnection(
             self,
             cfg.limits.header_timeout if cfg else None,
-            self._front.note_slow_head,
+            self._front.note_head_timeout,
             loop=asyncio.get_running_loop(),
-            keepalive_timeout=cfg.limits.idle_timeout if cfg else IDLE_FIRST,
+            keepalive_timeout=cfg.limits.idle_timeout if cfg else DEFAULT_IDLE_TIMEOUT,
             access_log=None,
             auto_decompress=False,
-            max_line_size=PARSER_MOST,
-            max_field_size=PARSER_MOST,
-            lingering_time=LINGER,
+            max_line_size=MAX_PARSER_LINE,
+            max_field_size=MAX_PARSER_LINE,
+            lingering_time=LINGERING_TIME,
         )
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
@@ -1,9 +1,8 @@
 """
-The callers' listener: from bytes on a socket to a request, and back.
+The HTTP handler for callers: validates requests, and returns answers and refusals.
 
-Short bodies are read whole before a target is chosen, so that a slow caller holds no
-slot and a request that certainly has not run can be sent again. Longer ones are passed
-on while they come.
+Short bodies are read completely before a target is chosen, so that a slow caller does
+not occupy a slot and a failed request can be retried. Longer bodies are streamed.
 """
 
 import asyncio
@@ -20,27 +19,25 @@
 from ..front.headers import HOP_BY_HOP
 from ..platform import wire
 from .clock import now
-from .outgoing import Ask, Owner, named_by_connection
-from .refusals import Cause, Refusal, status_of
+from .outgoing import Owner, ProxyRequest, connection_header_names
+from .refusals import Refusal, RefusalCause, http_status
 
 log = logging.getLogger("front")
-# Bodies up to this many bytes are read whole first; what tells a request that comes
-# again from others is then at hand.
-WHOLE_MOST = MAX_HASHED_BODY
-# Bytes of bodies that a host holds at a time; a third of the memory that the smallest
-# hosts have. What comes on top is refused at once.
-HELD_MOST = 64 * 1024 * 1024
-RETRY_AFTER_LEAST = 0.05
-# Seconds after which a host that has lost the store has likely heard of a new key.
-KEYS_PAUSE = 0.5
-# Seconds after the call to leave for which requests are still taken. Callers come for
-# three seconds until the balancer has turned away; a long upload that is taken last
-# would outlast the grace and be cut.
+# Bodies up to this many bytes are read completely, and the request key includes them.
+MAX_WHOLE_BODY = MAX_HASHED_BODY
+# Total bytes of bodies that a host buffers; further requests are refused.
+MAX_BUFFERED_BYTES = 64 * 1024 * 1024
+MIN_RETRY_AFTER = 0.05
+# Retry delay in seconds while the configuration is too old to reject an unknown key.
+KEYS_RETRY_AFTER = 0.5
+# Seconds for which a draining host still accepts requests. The load balancer may route
+# callers to it for three seconds; a long upload accepted later could outlast the grace
+# period and be aborted.
 DRAIN_ACCEPT_TIME = 2.9
 
 
 class Caller:
-    """A caller's connection, as far as the relay must know of it."""
+    """The connection of a caller, for the relay."""
 
     def __init__(self, request):
         self._request = request
@@ -53,7 +50,7 @@
 
 class Front:
     """
-    The state of the callers' listener.
+    The HTTP handler for callers.
 
     Args:
       knowledge: The `HostState`.
@@ -65,86 +62,90 @@
         self._knowledge = knowledge
         self._relay = relay
         self._metrics = metrics
-        self._held = 0
-        self._orders = set()
-        self._busy = set()
-        self._left_at = None
+        self._buffered_bytes = 0
+        self._order_tasks = set()
+        self._busy_transports = set()
+        self._draining_since = None
 
     def drain(self):
-        """Take requests for a while only, and close connections after their answers."""
-        self._left_at = now()
+        """Close connections after their responses; soon refuse further requests."""
+        self._draining_since = now()
 
     @property
     def is_draining(self):
-        """Whether the host was told to leave."""
-        return self._left_at is not None
+        """Whether the host is draining."""
+        return self._draining_since is not None
 
     @property
     def in_flight(self):
-        """How many requests are under way."""
-        return len(self._busy)
+        """The number of requests in flight."""
+        return len(self._busy_transports)
 
     def is_busy(self, transport):
-        """Return whether a request is under way on a connection."""
-        return transport in self._busy
+        """Return whether a connection has a request in flight."""
+        return transport in self._busy_transports
 
-    def note_slow_head(self):
-        """Log and count a connection that ended with half a head."""
-        log.info("refused", extra={"cause": Cause.HEAD_TOO_SLOW.value})
-        self._metrics.refusals.inc({"cause": Cause.HEAD_TOO_SLOW.value})
+    def note_head_timeout(self):
+        """Log and count a connection that was closed with an incomplete head."""
+        log.info("refused", extra={"cause": RefusalCause.HEAD_TOO_SLOW.value})
+        self._metrics.refusals.inc({"cause": RefusalCause.HEAD_TOO_SLOW.value})
 
     async def handle(self, request):
         """Answer one request."""
         started = now()
         transport = request.transport
         if transport is None or transport.is_closing():
-            # Read in the moment in which the connection was closed: nobody can get
-            # an answer any more, so the request is not passed on.
+            # The caller disconnected while the request was read and cannot receive an
+            # answer, so the request is not forwarded.
             return web.Response(status=503)
-        self._busy.add(transport)
+        self._busy_transports.add(transport)
         try:
             answer = await self._answer(request, started)
             return await self._respond(request, answer)
         finally:
-            self._busy.discard(transport)
+            self._busy_transports.discard(transport)
             self._metrics.seconds.observe({}, now() - started)
 
     async def _answer(self, request, started):
-        """Return a `Reply` or a `Refusal`."""
+        """Validate and run a request; return a `Reply` or a `Refusal`."""
         cfg = self._knowledge.cfg
-        if self.is_draining and started - self._left_at > DRAIN_ACCEPT_TIME:
-            return self._refuse(request, Cause.LEAVING, 0.0)
+        if self.is_draining and started - self._draining_since > DRAIN_ACCEPT_TIME:
+            return self._refuse(request, RefusalCause.DRAINING, 0.0)
         if not self._knowledge.is_complete:
-            return self._refuse(request, Cause.NO_CONFIGURATION, 0.5)
+            return self._refuse(request, RefusalCause.NO_CONFIGURATION, 0.5)
         size = sum(len(k) + len(v) + 4 for k, v in request.raw_headers)
         if size > cfg.limits.header_bytes:
-            return self._refuse(request, Cause.HEADERS_TOO_LARGE)
+            return self._refuse(request, RefusalCause.HEADERS_TOO_LARGE)
         route = find_route(
             self._knowledge.route_table,
             request.headers.get("Host", ""),
             request.raw_path,
         )
         if route is None:
-            return self._refuse(request, Cause.NO_ROUTE)
+            return self._refuse(request, RefusalCause.NO_ROUTE)
         workspace, refusal = self._identify(request, route, started)
         if refusal is not None:
             return refusal
-        # As of now: another version may come into force while the body is read.
+        # Taken before the body is read, since the configuration may change meanwhile.
         owner = Owner(bool(cfg.workspaces), workspace)
         request_id = request.headers.get(wire.REQUEST_ID)
         if not request_id:
-            return self._refuse(request, Cause.NO_REQUEST_ID)
-        limit = _read_time(request.headers.get(wire.TIME_LEFT), route.timeout)
-        if limit is None:
-            return self._refuse(request, Cause.BAD_TIME)
+            return self._refuse(request, RefusalCause.NO_REQUEST_ID)
+        time_limit = _parse_time_limit(
+            request.headers.get(wire.TIME_LEFT), route.timeout
+        )
+        if time_limit is None:
+            return self._refuse(request, RefusalCause.BAD_TIME_LIMIT)
         length = request.content_length
         if length is not None and length > cfg.limits.body_bytes:
-            return self._refuse(request, Cause.BODY_TOO_LARGE)
+            return self._refuse(request, RefusalCause.BODY_TOO_LARGE)
         self._metrics.requests.inc({"kind": route.kind.value})
         decision = self._knowledge.admit(workspace, started)
         if not decision.is_admitted:
             return self._refuse_over_limit(request, workspace, decision)
-        answer = await self._take(request, route, owner, request_id, started, limit)
+        answer = await self._read_and_run(
+            request, route, owner, request_id, started, time_limit
+        )
         if isinstance(answer, Refusal) and not answer.may_have_run:
             self._knowledge.shared.quotas.release(workspace, now())
         return answer
@@ -152,7 +153,7 @@
     def _refuse_over_limit(self, request, workspace, decision):
         return self._refuse(
             request,
-            Cause.OVER_LIMIT,
+            RefusalCause.OVER_LIMIT,
             decision.retry_after,
             workspace=workspace.name,
             rate=workspace.rate,
@@ -165,11 +166,10 @@
 
     def _identify(self, request, route, at):
         """
-        Return a request's `Workspace`, None for nobody's, and a `Refusal` or None.
+        Return the `Workspace` of a request or None, and a `Refusal` or None.
 
-        A key that this host does not know may be one that was given a moment ago. Only
-        a host that knows what the store says by now may call it unknown, since a
-        caller does not come again after that.
+        An unknown key may have been issued a moment ago. It is rejected only if the
+        configuration is recent enough, since callers do not retry a rejected key.
         """
         if not self._knowledge.cfg.workspaces:
             return None, None
@@ -182,51 +182,55 @@
         age = self._knowledge.configuration_age(at)
         fields["age"] = round(age, 2)
         if key is None or age <= self._knowledge.settings.bounds.apply:
-            return None, self._refuse(request, Cause.UNKNOWN_KEY, **fields)
-        return None, self._refuse(request, Cause.KEYS_OUTDATED, KEYS_PAUSE, **fields)
+            return None, self._refuse(request, RefusalCause.UNKNOWN_KEY, **fields)
+        return None, self._refuse(
+            request, RefusalCause.KEYS_OUTDATED, KEYS_RETRY_AFTER, **fields
+        )
 
-    async def _take(self, request, route, owner, request_id, started, limit):
-        """Read the body, or its first part, and run the request."""
-        taken = 0
-        deadline = started + limit
+    async def _read_and_run(
+        self, request, route, owner, request_id, started, time_limit
+    ):
+        """Read the body or its first part within the limits, and run the request."""
+        reserved = 0
+        deadline = started + time_limit
         try:
-            room = HELD_MOST - self._held
-            expected = min(WHOLE_MOST, request.content_length or 0)
+            room = MAX_BUFFERED_BYTES - self._buffered_bytes
+            expected = min(MAX_WHOLE_BODY, request.content_length or 0)
             if expected > room:
-                return self._refuse(request, Cause.MEMORY_FULL, 0.5)
-            taken = expected
-            self._held += taken
+                return self._refuse(request, RefusalCause.MEMORY_FULL, 0.5)
+            reserved = expected
+            self._buffered_bytes += reserved
             body, is_whole = b"", True
             if request.can_read_body:
-                async with asyncio.timeout(limit):
-                    body, is_whole = await _read_first(request.content)
-            self._held += len(body) - taken
-            taken = len(body)
+                async with asyncio.timeout(time_limit):
+                    body, is_whole = await _read_start(request.content)
+            self._buffered_bytes += len(body) - reserved
+            reserved = len(body)
             if len(body) > self._knowledge.cfg.limits.body_bytes:
-                return self._refuse(request, Cause.BODY_TOO_LARGE)
-            ask = self._make_ask(
+                return self._refuse(request, RefusalCause.BODY_TOO_LARGE)
+            proxy_request = self._make_proxy_request(
                 request, route, owner, request_id, started, deadline, body, is_whole
             )
-            return await self._run(ask)
+            return await self._run(proxy_request)
         except TimeoutError:
-            return self._refuse(request, Cause.BODY_TOO_SLOW)
+            return self._refuse(request, RefusalCause.BODY_TOO_SLOW)
         except web.RequestPayloadError:
-            return self._refuse(request, Cause.BODY_BROKEN)
+            return self._refuse(request, RefusalCause.BODY_BROKEN)
         finally:
-            self._held -= taken
+            self._buffered_bytes -= reserved
 
-    def _make_ask(
+    def _make_proxy_request(
         self, request, route, owner, request_id, started, deadline, body, is_whole
     ):
-        rest_most = self._knowledge.cfg.limits.body_bytes - len(body)
+        max_rest = self._knowledge.cfg.limits.body_bytes - len(body)
         service = choose_service(route, self._knowledge.rng)
-        return Ask(
+        return ProxyRequest(
             request_id.encode("latin-1"),
             request.method,
             request.raw_path,
             request.raw_headers,
             body,
-            None if is_whole else _read_rest(request.content, rest_most),
+            None if is_whole else _read_rest(request.content, max_rest),
             len(body) if is_whole else request.content_length,
             route,
             service,
@@ -237,22 +241,21 @@
             self._knowledge.urgency(service, route, owner.workspace),
         )
 
-    async def _run(self, ask):
+    async def _run(self, proxy_request):
         """
-        Run a request; one that must not repeat runs on when its caller leaves.
+        Run a request.
 
-        The library cancels a handler whose caller has gone. For idempotent requests
-        that is right, since nobody waits for the work. An order that is under way is
-        left to end, and what became of it is logged.
+        aiohttp cancels the handler if the caller disconnects. This cancels idempotent
+        requests, while orders and uploads continue, so that their outcome is logged.
         """
-        if ask.route.kind.is_idempotent:
-            return await self._relay.run(ask)
-        task = asyncio.get_running_loop().create_task(self._relay.run(ask))
-        self._orders.add(task)
-        task.add_done_callback(self._orders.discard)
+        if proxy_request.route.kind.is_idempotent:
+            return await self._relay.run(proxy_request)
+        task = asyncio.get_running_loop().create_task(self._relay.run(proxy_request))
+        self._order_tasks.add(task)
+        task.add_done_callback(self._order_tasks.discard)
         return await asyncio.shield(task)
 
-    def _refuse(self, request, cause, pause=None, **fields):
+    def _refuse(self, request, cause, retry_delay=None, **fields):
         log.info(
             "refused",
             extra={
@@ -265,28 +268,28 @@
             },
         )
         self._metrics.refusals.inc({"cause": cause.value})
-        return Refusal(cause, False, pause)
+        return Refusal(cause, False, retry_delay)
 
     async def _respond(self, request, answer):
         """Turn an answer into the caller's response."""
         if isinstance(answer, Reply):
             if answer.rest is not None:
                 return await self._stream(request, answer)
-            headers = _pass_headers(answer.headers)
+            headers = _forwarded_headers(answer.headers)
             resp = web.Response(status=answer.status, body=answer.body, headers=headers)
         else:
-            resp = _make_refusal(request, answer)
+            resp = _refusal_response(request, answer)
         if not request.content.is_eof():
-            # The rest of the body would be taken for the next request.
+            # Otherwise the rest of the body would be parsed as the next request.
             resp.force_close()
         if self.is_draining:
             resp.force_close()
         return resp
 
     async def _stream(self, request, answer):
-        """Pass a long answer on; if it breaks off, cut the caller's connection."""
+        """Stream a long answer; if it is incomplete, abort the caller's connection."""
         resp = web.StreamResponse(
-            status=answer.status, headers=_pass_headers(answer.headers)
+            status=answer.status, headers=_forwarded_headers(answer.headers)
         )
         length = dict((k.lower(), v) for k, v in answer.headers).get(b"content-length")
         if length is not None:
@@ -313,7 +316,7 @@
             await resp.write_eof()
         else:
             log.warning(
-                "answer broke off",
+                "answer incomplete",
                 extra={"request": request.headers.get(wire.REQUEST_ID)},
             )
             if request.transport is not None:
@@ -321,19 +324,19 @@
         return resp
 
 
-def _read_time(text, most):
-    """Return the seconds that a request may take, or None if the text is no number."""
+def _parse_time_limit(text, maximum):
+    """Return the time limit of a request in seconds, or None if it is malformed."""
     if text is None:
-        return most
+        return maximum
     if not text.isdigit() or len(text) > 9:
         return None
-    return min(int(text) / 1000, most)
+    return min(int(text) / 1000, maximum)
 
 
-async def _read_first(content):
-    """Return the first part of a body, and whether that is all of it."""
+async def _read_start(content):
+    """Return the first part of a body, and whether it is the whole body."""
     parts = bytearray()
-    while len(parts) <= WHOLE_MOST:
+    while len(parts) <= MAX_WHOLE_BODY:
         part = await content.readany()
         if not part:
             return bytes(parts), True
@@ -341,40 +344,40 @@
     return bytes(parts), False
 
 
-async def _read_rest(content, most):
+async def _read_rest(content, maximum):
     """
-    Yield the parts of a long body that follow the first one.
+    Yield the parts of a streamed body that follow the first one.
 
-    A body without a length shows only here that it is larger than allowed. Part of it
-    is at the target by then, so its connection is cut like that of a broken upload.
+    The size limit of a body without a Content-Length is enforced here. A part of it may
+    have been sent by then, so the request fails like an aborted upload.
     """
     while part := await content.readany():
-        most -= len(part)
-        if most < 0:
-            raise web.RequestPayloadError("body larger than the limit")
+        maximum -= len(part)
+        if maximum < 0:
+            raise web.RequestPayloadError("body exceeds the size limit")
         yield part
 
 
-def _pass_headers(pairs):
-    """Return the headers of a target's answer that go to the caller."""
-    named = named_by_connection(pairs)
+def _forwarded_headers(pairs):
+    """Return the headers of an answer that are forwarded to the caller."""
+    connection_names = connection_header_names(pairs)
     headers = CIMultiDict()
     for name, value in pairs:
         lower = name.lower()
         text = lower.decode("latin-1")
-        if text in HOP_BY_HOP or text == "content-length" or lower in named:
+        if text in HOP_BY_HOP or text == "content-length" or lower in connection_names:
             continue
         headers.add(name.decode("latin-1"), value.decode("latin-1"))
     return headers
 
 
-def _make_refusal(request, refusal):
+def _refusal_response(request, refusal):
     """Return the response for a refusal."""
-    status = status_of(refusal)
+    status = http_status(refusal)
     resp = web.json_response({"error": refusal.cause.value}, status=status)
     if status in (429, 503):
-        pause = max(RETRY_AFTER_LEAST, refusal.pause or 0.0)
-        resp.headers[wire.RETRY_AFTER] = f"{pause:.2f}"
+        retry_after = max(MIN_RETRY_AFTER, refusal.retry_after or 0.0)
+        resp.headers[wire.RETRY_AFTER] = f"{retry_after:.2f}"
     if status == 401:
         resp.headers["WWW-Authenticate"] = "Bearer"
     if request.headers.get(wire.REQUEST_ID):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/limits.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/limits.py
@@ -1,8 +1,8 @@
 """
 The rate limits of targets on a host of the platform.
 
-It reads the limits from answers, logs what changes, and keeps what the core decides
-with the list of targets.
+Reads the limits from the answers of targets, logs changes, and applies the limits of
+the core to the listed targets.
 """
 
 import logging
@@ -16,110 +16,110 @@
 from .clock import now
 
 log = logging.getLogger("limits")
-# What becomes of a request that its target has run to an answer.
-RUN_FATES = {SendOutcome.SUCCEEDED, SendOutcome.FAILED, SendOutcome.TIMED_OUT}
+# Outcomes of requests that a target ran and answered.
+RUN_OUTCOMES = {SendOutcome.SUCCEEDED, SendOutcome.FAILED, SendOutcome.TIMED_OUT}
 
 
 class RateLimits:
     """
-    What one host makes of the rate limits that targets name.
+    The rate limits that targets advertise, as one host applies them.
 
     Args:
       settings: The `HostSettings`.
       limits: The `TargetLimits`.
       registry: The `Registry` of targets.
-      tell: Called with whether it is urgent when other hosts are to be told.
+      notify: Called with `is_urgent` when there is an update for other hosts.
     """
 
-    def __init__(self, settings, limits, registry, tell):
+    def __init__(self, settings, limits, registry, notify):
         self._settings = settings
         self._limits = limits
         self._registry = registry
-        self._tell = tell
-        # Incarnations whose limit could not be read.
+        self._notify = notify
+        # Incarnations that advertise a malformed limit.
         self._unreadable = set()
 
     @property
     def has_any(self):
-        """Whether any target names a limit."""
+        """Whether any target advertises a limit."""
         return bool(self._limits.advertised)
 
     def rate(self, target):
-        """Return the requests a second that a target takes, or None without a limit."""
+        """Return the limit of a target in requests per second, or None."""
         return self._limits.advertised.rate(target.incarnation)
 
-    def admissible(self, service, longest, at):
+    def admissible(self, service, max_wait, at):
         """
-        Return the usable targets of a service whose limits leave room.
+        Return the usable targets that may be sent a request within `max_wait`.
 
         Args:
           service: The service's name.
-          longest: The most seconds that the request may wait for its turn.
+          max_wait: The maximum seconds that the request may wait for a token.
           at: The present, in seconds.
         """
         usable = self._registry.usable(service)
-        centre, revision = self._settings.data_centre, self._registry.revision
-        return self._limits.admissible(usable, centre, longest, revision, at)
+        data_centre, revision = self._settings.data_centre, self._registry.revision
+        return self._limits.admissible(usable, data_centre, max_wait, revision, at)
 
     def retry_after(self, service, at):
         """
-        Return the seconds after which limits may leave room, or None.
+        Return the seconds after which the limits may admit a request.
 
-        None means that it is not limits which leave a request without a target.
+        None means that no usable target of the service has a limit.
         """
         usable = self._registry.usable(service)
         if not any(self.rate(target) is not None for target in usable):
             return None
-        centre, revision = self._settings.data_centre, self._registry.revision
-        return self._limits.retry_after(usable, centre, revision, at)
+        data_centre, revision = self._settings.data_centre, self._registry.revision
+        return self._limits.retry_after(usable, data_centre, revision, at)
 
     def wait(self, target, at):
-        """Return the seconds until a request may be sent to a target."""
+        """Return the seconds until the limit of a target admits a request."""
         return self._limits.wait(target, at)
 
-    def has_share(self, target, at):
-        """Return whether this host may send to a target, at once or after a wait."""
-        within = self.admissible(target.service, math.inf, at)
-        return any(other.incarnation == target.incarnation for other in within)
+    def may_send(self, target, at):
+        """Return whether this host may send to a target, at once or later."""
+        admissible = self.admissible(target.service, math.inf, at)
+        return any(other.incarnation == target.incarnation for other in admissible)
 
     def acquire(self, target, at):
-        """Count a request that is sent to a target, or will be after its wait."""
+        """Count a request that is sent to a target, at once or after its wait."""
         self._limits.acquire(target, at)
 
     def release(self, target):
-        """Take back a request that did not reach its target."""
+        """Undo `acquire` for a request that did not reach its target."""
         self._limits.release(target, now())
 
-    def note_answer(self, target, headers, fate, sent_at, request_id):
+    def note_answer(self, target, headers, outcome, sent_at, request_id):
         """
-        Take the limit that an answer names, or that it names none.
+        Record the limit that an answer advertises, or the absence of one.
 
         Args:
           target: The `Target` that the request was sent to.
           headers: The answer's headers.
-          fate: The `SendOutcome` of the send, or None if it was abandoned.
+          outcome: The `SendOutcome` of the send, or None if it was abandoned.
           sent_at: When the request was sent, in seconds.
           request_id: The request's id, as bytes.
         """
-        if fate is SendOutcome.WRONG_TARGET:
+        if outcome is SendOutcome.WRONG_TARGET:
             return
-        named = wire.decode_rate_limit(headers)
-        if isinstance(named, Failure):
-            self._log_unreadable(target, named.failure(), request_id)
+        decoded = wire.decode_rate_limit(headers)
+        if isinstance(decoded, Failure):
+            self._log_unreadable(target, decoded.failure(), request_id)
             return
-        rate = named.unwrap()
-        if rate is None and fate not in RUN_FATES:
-            # What rejects a request need not know of the limit.
+        rate = decoded.unwrap()
+        if rate is None and outcome not in RUN_OUTCOMES:
+            # A rejection need not come from the code that advertises the limit.
             return
-        former = self.rate(target)
+        previous = self.rate(target)
         if self._limits.advertised.observe(target.incarnation, rate, sent_at, now()):
             request = request_id.decode("latin-1")
-            extra = {"target": target.id, "rate": rate, "former": former}
+            extra = {"target": target.id, "rate": rate, "former": previous}
             log.info("rate limit", extra={**extra, "request": request})
-            self._tell(is_urgent=True)
+            self._notify(is_urgent=True)
 
     def _log_unreadable(self, target, text, request_id):
-        """Log a limit that cannot be read, once for each incarnation."""
+        """Log a malformed limit, once for each incarnation."""
         if target.incarnation in self._unreadable:
             return
         self._unreadable.add(target.incarnation)
@@ -128,5 +128,5 @@
         log.warning("unreadable rate limit", extra=extra)
 
     def evict(self, listed):
-        """Forget incarnations that are no longer listed."""
+        """Remove the state of incarnations that are no longer listed."""
         self._unreadable &= listed
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/outgoing.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/outgoing.py
@@ -1,5 +1,5 @@
 """
-A request as it goes to a target: its head, and a long body in its framing.
+The request that a host forwards to a target, and its HTTP encoding.
 """
 
 from typing import Any, NamedTuple
@@ -10,25 +10,27 @@
 from ..front.headers import HOP_BY_HOP
 from ..platform import wire
 
-# Headers that a host sets itself, and those that end at each hop.
-SET_HERE = {
+# Headers that a host sets itself.
+OWN_HEADERS = {
     wire.TIME_LEFT.lower().encode(),
     wire.TARGET_ID.lower().encode(),
     b"content-length",
     b"expect",
 }
-STOPPED = {name.encode() for name in HOP_BY_HOP} | SET_HERE
-# The same where requests bear keys. A target trusts the workspace's name, and a key
-# that it was shown it could use.
-STOPPED_WITH_KEYS = STOPPED | {b"authorization", wire.WORKSPACE.lower().encode()}
+DROPPED_HEADERS = {name.encode() for name in HOP_BY_HOP} | OWN_HEADERS
+# Targets trust the workspace header, and must not learn the callers' keys.
+DROPPED_HEADERS_WITH_KEYS = DROPPED_HEADERS | {
+    b"authorization",
+    wire.WORKSPACE.lower().encode(),
+}
 
 
 class Owner(NamedTuple):
     """
-    Whose a request is.
+    The owner of a request.
 
-    `has_keys` tells whether the configuration had workspaces when the request came, and
-    `workspace` is that of the request, None for nobody's.
+    `has_keys` tells whether the configuration had workspaces when the request arrived.
+    `workspace` is None for a request without one.
     """
 
     has_keys: bool = False
@@ -36,19 +38,19 @@
 
     @property
     def name(self):
-        """The name of the workspace, None for nobody's."""
+        """The name of the workspace, or None."""
         return self.workspace.name if self.workspace is not None else None
 
 
-class Ask(NamedTuple):
+class ProxyRequest(NamedTuple):
     """
-    A request as the relay needs it.
+    A request to forward.
 
     `body` is the whole body, or its first part if `rest` is an asynchronous iterator
-    of the others. `length` is the body's length, or None if it is not known. Times
-    are in seconds on the host's clock; `deadline` is when the caller gives up or the
-    route's time is over, whichever is earlier. `urgency` is 1.0 for the most
-    urgent requests of a service.
+    over the others. `length` is the length of the body, or None if it is unknown. Times
+    are in seconds on the host's clock; `deadline` is the earlier of the caller's
+    deadline and the route's timeout. `urgency` is 1.0 for the most urgent requests of a
+    service.
     """
 
     id: bytes
@@ -67,70 +69,70 @@
     urgency: float = 1.0
 
 
-def key_of(ask):
+def compute_request_key(request):
     """
-    Return the key of an `Ask`, which is the same when its caller comes again.
+    Return the request key, which stays the same if the caller retries the request.
 
-    It takes some microseconds, and half a millisecond for a long body, so it is made
-    only once something asks for it.
+    Hashing a long body is expensive, so callers compute it only on demand.
     """
-    headers = _shown_headers(ask) if ask.owner.has_keys else ask.headers
-    workspace = (ask.owner.name or "").encode()
-    return request_key(ask.method, ask.path, headers, ask.body, workspace)
+    headers = _forwarded_headers(request) if request.owner.has_keys else request.headers
+    workspace = (request.owner.name or "").encode()
+    return request_key(request.method, request.path, headers, request.body, workspace)
 
 
-def _shown_headers(ask):
-    """Return the headers that a target is shown as they came, in a list of pairs."""
-    stopped = STOPPED_WITH_KEYS if ask.owner.has_keys else STOPPED
-    named = named_by_connection(ask.headers)
+def _forwarded_headers(request):
+    """Return the headers that are forwarded unchanged, as a list of pairs."""
+    dropped = DROPPED_HEADERS_WITH_KEYS if request.owner.has_keys else DROPPED_HEADERS
+    connection_names = connection_header_names(request.headers)
     return [
         (name, value)
-        for name, value in ask.headers
-        if (lower := name.lower()) not in stopped and lower not in named
+        for name, value in request.headers
+        if (lower := name.lower()) not in dropped and lower not in connection_names
     ]
 
 
-def make_head(ask, target, time_left):
+def make_head(request, target, time_left):
     """
-    Return the bytes of a request to a target, with its body if that is whole.
+    Return the encoded head of a request, with the body or its first part if its length
+    is known.
 
     Args:
-      ask: The `Ask`.
+      request: The `ProxyRequest`.
       target: The `Target`.
-      time_left: The seconds that the target may take.
+      time_left: The seconds until the deadline.
     """
-    lines = [f"{ask.method} {ask.path} HTTP/1.1".encode("latin-1")]
-    lines += [name + b": " + value for name, value in _shown_headers(ask)]
-    if ask.owner.workspace is not None:
-        lines.append(f"{wire.WORKSPACE}: {ask.owner.name}".encode())
+    lines = [f"{request.method} {request.path} HTTP/1.1".encode("latin-1")]
+    lines += [name + b": " + value for name, value in _forwarded_headers(request)]
+    if request.owner.workspace is not None:
+        lines.append(f"{wire.WORKSPACE}: {request.owner.name}".encode())
     lines.append(f"{wire.TIME_LEFT}: {max(1, int(time_left * 1000))}".encode())
     lines.append(f"{wire.TARGET_ID}: {target.id}".encode())
-    if ask.length is None:
+    if request.length is None:
         lines.append(b"Transfer-Encoding: chunked")
-    elif ask.length or ask.method not in ("GET", "HEAD"):
-        lines.append(b"Content-Length: %d" % ask.length)
+    elif request.length or request.method not in ("GET", "HEAD"):
+        lines.append(b"Content-Length: %d" % request.length)
     head = b"\r\n".join(lines) + b"\r\n\r\n"
-    return head if ask.length is None else head + ask.body
+    return head if request.length is None else head + request.body
 
 
-def named_by_connection(headers):
-    """Return the lower-case names of headers that a Connection header lists."""
-    named = set()
+def connection_header_names(headers):
+    """Return the header names that Connection headers list, in lower case."""
+    connection_names = set()
     for name, value in headers:
         if name.lower() == b"connection":
-            named.update(part.strip().lower() for part in value.split(b","))
-    return named
+            connection_names.update(part.strip().lower() for part in value.split(b","))
+    return connection_names
 
 
-async def frame_body(ask):
-    """Yield the parts of a long body in the framing that the head announced."""
-    if ask.length is not None:
-        async for part in ask.rest:
+async def frame_body(request):
+    """Yield the parts of a streamed body, framed as the head announced."""
+    if request.length is not None:
+        async for part in request.rest:
             yield part
         return
-    if ask.body:
-        yield _chunk(ask.body)
-    async for part in ask.rest:
+    if request.body:
+        yield _chunk(request.body)
+    async for part in request.rest:
         yield _chunk(part)
     yield b"0\r\n\r\n"
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/refusals.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/refusals.py
@@ -1,25 +1,25 @@
 """
-The answers that a host gives by itself, and why.
+Requests that a host refuses itself: causes and HTTP statuses.
 
-A cause has the status that it gets while the request has certainly not run, and the
-one that it gets otherwise. Only the former may promise anything.
+Each cause has two statuses: one for a request that is known not to have run, and one
+for a request that may have run. Only the former may promise that it has not run.
 """
 
 import enum
 from typing import NamedTuple
 
 
-class Cause(enum.Enum):
-    """Why a request was answered by the host itself."""
+class RefusalCause(enum.Enum):
+    """Why a host refused a request."""
 
-    LEAVING = "leaving"
+    DRAINING = "leaving"
     NO_CONFIGURATION = "no-configuration"
     NO_ROUTE = "no-route"
     UNKNOWN_KEY = "unknown-key"
     KEYS_OUTDATED = "keys-outdated"
     OVER_LIMIT = "over-limit"
     NO_REQUEST_ID = "no-request-id"
-    BAD_TIME = "bad-time"
+    BAD_TIME_LIMIT = "bad-time"
     HEAD_TOO_SLOW = "head-too-slow"
     HEADERS_TOO_LARGE = "headers-too-large"
     BODY_TOO_LARGE = "body-too-large"
@@ -27,52 +27,52 @@
     BODY_BROKEN = "body-broken"
     MEMORY_FULL = "memory-full"
     NO_TARGET = "no-target"
-    NO_ROOM = "no-room"
-    NOT_TAKEN = "not-taken"
-    UNREACHED = "unreached"
+    OVERLOADED = "no-room"
+    NOT_RUN = "not-taken"
+    UNREACHABLE = "unreached"
     TARGET_FAILED = "target-failed"
-    TIME_OVER = "time-over"
+    DEADLINE_EXCEEDED = "time-over"
     CALLER_GONE = "caller-gone"
-    HELD_BACK = "held-back"
+    HELD = "held-back"
     TARGETS_LIMITED = "targets-limited"
 
 
 class Refusal(NamedTuple):
-    """An answer of the host's own. `pause` is when to come back, in seconds."""
+    """A refused request. `retry_after` is in seconds."""
 
-    cause: Cause
+    cause: RefusalCause
     may_have_run: bool
-    pause: float | None = None
+    retry_after: float | None = None
 
 
 STATUSES = {
-    Cause.LEAVING: (503, 502),
-    Cause.NO_CONFIGURATION: (503, 503),
-    Cause.NO_ROUTE: (404, 404),
-    Cause.UNKNOWN_KEY: (401, 401),
-    Cause.KEYS_OUTDATED: (503, 503),
-    Cause.OVER_LIMIT: (429, 429),
-    Cause.NO_REQUEST_ID: (400, 400),
-    Cause.BAD_TIME: (400, 400),
-    Cause.HEAD_TOO_SLOW: (408, 408),
-    Cause.HEADERS_TOO_LARGE: (431, 431),
-    Cause.BODY_TOO_LARGE: (413, 413),
-    Cause.BODY_TOO_SLOW: (408, 502),
-    Cause.BODY_BROKEN: (400, 502),
-    Cause.MEMORY_FULL: (503, 502),
-    Cause.NO_TARGET: (503, 502),
-    Cause.NO_ROOM: (503, 504),
-    Cause.NOT_TAKEN: (503, 502),
-    Cause.UNREACHED: (503, 502),
-    Cause.TARGET_FAILED: (503, 502),
-    Cause.TIME_OVER: (503, 504),
-    Cause.CALLER_GONE: (503, 502),
-    Cause.HELD_BACK: (503, 502),
-    Cause.TARGETS_LIMITED: (503, 502),
+    RefusalCause.DRAINING: (503, 502),
+    RefusalCause.NO_CONFIGURATION: (503, 503),
+    RefusalCause.NO_ROUTE: (404, 404),
+    RefusalCause.UNKNOWN_KEY: (401, 401),
+    RefusalCause.KEYS_OUTDATED: (503, 503),
+    RefusalCause.OVER_LIMIT: (429, 429),
+    RefusalCause.NO_REQUEST_ID: (400, 400),
+    RefusalCause.BAD_TIME_LIMIT: (400, 400),
+    RefusalCause.HEAD_TOO_SLOW: (408, 408),
+    RefusalCause.HEADERS_TOO_LARGE: (431, 431),
+    RefusalCause.BODY_TOO_LARGE: (413, 413),
+    RefusalCause.BODY_TOO_SLOW: (408, 502),
+    RefusalCause.BODY_BROKEN: (400, 502),
+    RefusalCause.MEMORY_FULL: (503, 502),
+    RefusalCause.NO_TARGET: (503, 502),
+    RefusalCause.OVERLOADED: (503, 504),
+    RefusalCause.NOT_RUN: (503, 502),
+    RefusalCause.UNREACHABLE: (503, 502),
+    RefusalCause.TARGET_FAILED: (503, 502),
+    RefusalCause.DEADLINE_EXCEEDED: (503, 504),
+    RefusalCause.CALLER_GONE: (503, 502),
+    RefusalCause.HELD: (503, 502),
+    RefusalCause.TARGETS_LIMITED: (503, 502),
 }
 
 
-def status_of(refusal):
+def http_status(refusal):
     """Return the HTTP status of a refusal."""
-    unrun, unsure = STATUSES[refusal.cause]
-    return unsure if refusal.may_have_run else unrun
+    if_not_run, if_unknown = STATUSES[refusal.cause]
+    return if_unknown if refusal.may_have_run else if_not_run
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -1,11 +1,12 @@
 """
-From a request to the answer that its caller gets.
-
-The relay chooses a target, sends, and looks at what comes back. A failed send of an
-idempotent request is sent once more elsewhere, and one that is slow for its kind gets
-a second send before the first has failed; an order or an upload is sent again only
-when it certainly has not run. Each further send must fit the data centre's share of
-the retries. A request that can't be served any more is answered at once.
+Forwards a request to targets until one of them answers it.
+
+The relay chooses a target, sends the request and evaluates the outcome. A failed send
+of an idempotent request is retried at another target, and a slow one is hedged: the
+request is sent to a second target while the first send is outstanding. An order or an
+upload is sent again only if it is known not to have run. Each further send must fit the
+data centre's share of the retries. A request that can no longer be served is refused at
+once.
 """
 
 import asyncio
@@ -19,43 +20,40 @@
 from plumsaddle_core.ops.urgency import max_wait_share
 
 from .clock import now
-from .refusals import Cause, Refusal
-from .sender import Sent
-from .suspicion import Suspicion
+from .refusals import Refusal, RefusalCause
+from .sender import SendResult
+from .suspicion import SuspectCheck
 
 log = logging.getLogger("relay")
-# A send that takes this many times the time expected of it, its wait for a slot
-# included, counts as failed for the choice of targets; sound work passes it about once
-# in a hundred requests.
+# A send that takes longer than this multiple of its expected duration, which includes
+# queueing at the target, counts as failed in the health of the target.
 STUCK_FACTOR = 3.0
-# An idempotent request gets its second send after this many times the time expected of
-# the first.
+# The multiple of the expected duration after which an idempotent request is hedged.
 HEDGE_FACTOR = 2.2
-# Seconds after which a second send is weighed again that found no better target.
-HEDGE_AGAIN = 0.1
-# Below this many seconds nothing is slow: a busy processor or a lost packet delays an
-# answer that usually takes milliseconds by as much, whatever its target does.
-SLOW_LEAST = 0.1
-SLOW = "slow"
-# A second send goes only to a target that likely answers; one that nothing is known of
-# fails a fifth of its requests.
-HEDGE_FAILS_MOST = 0.25
-# Connections that fail to open before a request is given up; nothing was sent.
-UNREACHED_MOST = 3
-
-
-class Result(NamedTuple):
-    """What one send came to."""
+# Seconds after which hedging is tried again if no target was suitable.
+HEDGE_RETRY_INTERVAL = 0.1
+# Minimum seconds before a send counts as slow. Shorter delays may come from a busy
+# processor or a lost packet and say nothing about the target.
+MIN_SLOW_DURATION = 0.1
+RETRY_CAUSE_SLOW = "slow"
+# Maximum estimated failure probability of the target of a hedge.
+MAX_HEDGE_FAILURE_PROBABILITY = 0.25
+# Number of sends without a byte written after which a request is refused.
+MAX_UNREACHABLE = 3
+
+
+class CompletedSend(NamedTuple):
+    """The outcome of one send to a target; `seconds` is its duration."""
 
     target: Any
-    fate: SendOutcome
+    outcome: SendOutcome
     reply: Reply | None
     seconds: float
 
 
 class Relay:
     """
-    The relay of one host.
+    Forwards the requests of one host.
 
     Args:
       knowledge: The `HostState`.
@@ -69,126 +67,131 @@
         self._sender = sender
         self._metrics = metrics
         self._endings = endings
-        self._runs = set()
+        self._active = set()
 
     def refuse_in_flight(self):
         """
-        Answer all requests that are under way, since the host ends.
+        Refuse all requests in flight, because the host shuts down.
 
-        A target that has not answered by then may never have got its request, and a
-        caller whose connection just closes learns nothing.
+        The status tells callers whether a request may have run; a closed connection
+        would not.
         """
-        for run in self._runs:
-            run.end()
+        for active in self._active:
+            active.abort()
 
-    async def run(self, ask):
+    async def run(self, request):
         """
-        Serve a request.
+        Forward a request and wait for its answer.
 
         Args:
-          ask: The `Ask`.
+          request: The `ProxyRequest`.
         Returns:
-          A `Reply` of a target, or a `Refusal`.
+          The `Reply` of a target, or a `Refusal`.
         """
-        run = _Run(ask, self._knowledge, self._sender, self._metrics, self._endings)
-        refusal = run.hold_back()
+        active = _ActiveRequest(
+            request, self._knowledge, self._sender, self._metrics, self._endings
+        )
+        refusal = active.check_hold()
         if refusal is not None:
-            # It counts neither for the service's retries nor for its state.
+            # Held requests affect neither the retry budget nor the service's health.
             return refusal
-        self._knowledge.shared.note_request(ask.service, now())
-        self._runs.add(run)
+        self._knowledge.shared.note_request(request.service, now())
+        self._active.add(active)
         try:
-            answer = await run.serve()
+            answer = await active.serve()
             is_served = isinstance(answer, Reply) and answer.status < 500
-            self._knowledge.shared.note_request_end(ask.service, is_served, now())
+            self._knowledge.shared.note_request_end(request.service, is_served, now())
             return answer
         finally:
-            self._runs.discard(run)
-            run.cancel()
+            self._active.discard(active)
+            active.cancel_sends()
 
 
-class _Run:
-    """One request while it is served."""
+class _ActiveRequest:
+    """A request in flight."""
 
-    def __init__(self, ask, knowledge, sender, metrics, endings):
-        self._ask = ask
+    def __init__(self, request, knowledge, sender, metrics, endings):
+        self._request = request
         self._knowledge = knowledge
         self._sender = sender
         self._metrics = metrics
-        self._attempt = Attempt(ask.route.kind, ask.route.max_attempts)
-        self._suspicion = Suspicion(ask, self._attempt, knowledge, endings)
+        self._attempt = Attempt(request.route.kind, request.route.max_attempts)
+        self._suspect_check = SuspectCheck(request, self._attempt, knowledge, endings)
         self._excluded = set()
         self._sends = set()
-        self._unreached = 0
+        self._unreachable_count = 0
         self._is_hedged = False
         self._hedge_at = 0.0
-        self._last = None
-        self._has_begun_rest = False
-        self._end = asyncio.get_running_loop().create_future()
+        self._last_send = None
+        self._is_body_consumed = False
+        self._aborted = asyncio.get_running_loop().create_future()
 
-    def hold_back(self):
-        """Return the refusal of a request that ends its targets, None of others."""
-        held_for = self._suspicion.held_for()
+    def check_hold(self):
+        """Return the refusal of a request that is held back, or None."""
+        held_for = self._suspect_check.hold_remaining()
         if not held_for:
             return None
-        fields = {"key": self._suspicion.key, "lives": self._suspicion.lives}
-        return self._refuse(Cause.HELD_BACK, held_for, **fields)
-
-    def end(self):
-        """Give the request up, with what is true of it by now."""
-        if not self._end.done():
-            self._end.set_result(None)
-
-    def cancel(self):
-        """Stop all sends that still run, by closing their connections."""
+        fields = {
+            "key": self._suspect_check.key,
+            "lives": self._suspect_check.crash_count,
+        }
+        return self._refuse(RefusalCause.HELD, held_for, **fields)
+
+    def abort(self):
+        """Refuse the request, with a status according to its sends so far."""
+        if not self._aborted.done():
+            self._aborted.set_result(None)
+
+    def cancel_sends(self):
+        """Cancel all outstanding sends and close their connections."""
         for task in self._sends:
             if task.done() and not task.cancelled():
-                _drop(task.result().reply)
+                _close_reply(task.result().reply)
             task.cancel()
 
     async def serve(self):
-        """Send until there is an answer or nothing more may be done."""
+        """Send until there is an answer or no further send is allowed."""
         refusal = await self._send_next(None)
         if refusal is not None:
             return refusal
         while True:
             done = await self._wait()
-            if done == {self._end}:
-                return self._give_up(Cause.LEAVING)
+            if done == {self._aborted}:
+                return self._give_up(RefusalCause.DRAINING)
             if not done:
                 if self._time_left() <= 0:
-                    return self._give_up(Cause.TIME_OVER)
+                    return self._give_up(RefusalCause.DEADLINE_EXCEEDED)
                 await self._hedge()
                 continue
-            # An answer that has just come is delivered, also at the host's end.
-            for task in done - {self._end}:
+            # Answers that have arrived are delivered even if the request is aborted.
+            for task in done - {self._aborted}:
                 self._sends.discard(task)
                 result = task.result()
-                if result.fate is SendOutcome.SUCCEEDED:
+                if result.outcome is SendOutcome.SUCCEEDED:
                     self._knowledge.note_response_size(
-                        self._ask.route, len(result.reply.body)
+                        self._request.route, len(result.reply.body)
                     )
                     return self._log_answer(result)
-                answer = await self._recover(result)
+                answer = await self._handle_failure(result)
                 if answer is not None:
                     return answer
 
     def _time_left(self):
-        return self._ask.deadline - now()
+        return self._request.deadline - now()
 
-    def _usual(self):
-        """Return the usual seconds of such a request."""
+    def _typical_duration(self):
+        """Return the typical duration of requests of this route, in seconds."""
         return self._knowledge.shared.times.typical_duration(
-            self._ask.service, self._ask.route.name
+            self._request.service, self._request.route.name
         )
 
     async def _wait(self):
-        """Wait for a send to end, for the moment of a second send, or the deadline."""
+        """Wait until a send completes, a hedge is due or the deadline has passed."""
         timeout = max(0.0, self._time_left())
         if self._may_hedge():
             timeout = min(timeout, max(0.0, self._hedge_at - now()))
         done, _ = await asyncio.wait(
-            {*self._sends, self._end},
+            {*self._sends, self._aborted},
             timeout=timeout,
             return_when=asyncio.FIRST_COMPLETED,
         )
@@ -198,159 +201,169 @@
         return (
             not self._is_hedged
             and Feature.HEDGING not in self._knowledge.settings.disabled_features
-            and self._ask.route.kind.is_idempotent
+            and self._request.route.kind.is_idempotent
             and self._attempt.may_send()
-            and self._suspicion.may_hedge()
+            and self._suspect_check.may_hedge()
         )
 
     async def _hedge(self):
         """
-        Send a slow idempotent request to a second target, if one is better.
+        Send a slow idempotent request to a second target, if one is suitable.
 
-        If none is by now, one may be a little later: targets get done with their work.
+        Otherwise hedging is tried again after `HEDGE_RETRY_INTERVAL`.
         """
         sends = self._attempt.sends
-        if self._knowledge.may_retry(self._ask.service, self._ask.urgency):
-            await self._send_next(SLOW)
+        if self._knowledge.may_retry(self._request.service, self._request.urgency):
+            await self._send_next(RETRY_CAUSE_SLOW)
         self._is_hedged = self._attempt.sends > sends
         if not self._is_hedged:
-            self._hedge_at = now() + HEDGE_AGAIN
+            self._hedge_at = now() + HEDGE_RETRY_INTERVAL
 
-    async def _recover(self, result):
+    async def _handle_failure(self, result):
         """
-        Go on after a failed send.
+        Retry after a failed send, if that is allowed.
 
         Returns:
-          The final answer, or None if another send runs.
+          The final answer, or None if another send is outstanding.
         """
-        self._last = result
+        self._last_send = result
         self._excluded.add(result.target.id)
-        if result.fate in NOT_SENT:
-            self._unreached += 1
+        if result.outcome in NOT_SENT:
+            self._unreachable_count += 1
         if self._sends:
             return None
-        if self._unreached >= UNREACHED_MOST:
-            return self._give_up(Cause.UNREACHED)
-        if self._ask.caller.is_gone():
-            return self._give_up(Cause.CALLER_GONE)
-        if not self._suspicion.may_retry():
-            return self._final(result)
-        if not self._attempt.may_send() or self._has_begun_rest:
-            # What was read of a long body is gone and cannot be sent once more.
-            return self._final(result)
+        if self._unreachable_count >= MAX_UNREACHABLE:
+            return self._give_up(RefusalCause.UNREACHABLE)
+        if self._request.caller.is_gone():
+            return self._give_up(RefusalCause.CALLER_GONE)
+        if not self._suspect_check.may_retry():
+            return self._final_answer(result)
+        if not self._attempt.may_send() or self._is_body_consumed:
+            # The part of a streamed body that was read is not kept.
+            return self._final_answer(result)
         is_retry = self._attempt.sends > 0
-        ask = self._ask
-        if is_retry and not self._knowledge.may_retry(ask.service, ask.urgency):
-            self._metrics.retries_denied.inc({"service": ask.service})
-            return self._final(result)
-        refusal = await self._send_next(result.fate.value)
-        return None if refusal is None else self._final(result)
-
-    def _final(self, result):
-        """Return the answer after the last send that was possible."""
-        if result.reply is not None and self._is_passable(result):
+        request = self._request
+        if is_retry and not self._knowledge.may_retry(request.service, request.urgency):
+            self._metrics.retries_denied.inc({"service": request.service})
+            return self._final_answer(result)
+        refusal = await self._send_next(result.outcome.value)
+        return None if refusal is None else self._final_answer(result)
+
+    def _final_answer(self, result):
+        """Return the answer when no further send is allowed."""
+        if result.reply is not None and self._may_forward(result):
             return self._log_answer(result)
         if self._attempt.is_known_not_run():
-            return self._refuse(Cause.NOT_TAKEN)
-        return self._refuse(Cause.TARGET_FAILED)
+            return self._refuse(RefusalCause.NOT_RUN)
+        return self._refuse(RefusalCause.TARGET_FAILED)
 
-    def _is_passable(self, result):
+    def _may_forward(self, result):
         """
-        Return whether a target's own failure may go to the caller as it is.
+        Return whether the error response of a target may be forwarded to the caller.
 
-        A status that promises that the request has not run goes out only when this
-        host knows so.
+        Statuses that promise that the request has not run are not forwarded, since it
+        may have run at another target.
         """
-        if result.fate not in (SendOutcome.FAILED, SendOutcome.TIMED_OUT):
+        if result.outcome not in (SendOutcome.FAILED, SendOutcome.TIMED_OUT):
             return False
         return result.reply.status not in (408, 421, 429, 503)
 
     def _give_up(self, cause):
-        if cause is Cause.TIME_OVER and self._attempt.is_known_not_run():
-            return self._refuse(Cause.NO_ROOM)
+        if cause is RefusalCause.DEADLINE_EXCEEDED and self._attempt.is_known_not_run():
+            return self._refuse(RefusalCause.OVERLOADED)
         return self._refuse(cause)
 
-    def _refuse(self, cause, pause=None, **fields):
-        ask = self._ask
+    def _refuse(self, cause, retry_delay=None, **fields):
+        request = self._request
         log.info(
             "refused",
             extra={
-                "request": ask.id.decode("latin-1"),
+                "request": request.id.decode("latin-1"),
                 "cause": cause.value,
-                "route": ask.route.name,
-                "service": ask.service,
+                "route": request.route.name,
+                "service": request.service,
                 "targets": self._attempt.targets,
-                "last": self._last.fate.value if self._last else None,
-                "seconds": round(now() - ask.started, 4),
+                "last": self._last_send.outcome.value if self._last_send else None,
+                "seconds": round(now() - request.started, 4),
                 "version": self._knowledge.cfg.version,
                 **fields,
             },
         )
         self._metrics.refusals.inc({"cause": cause.value})
-        pause = self._pause() if pause is None else pause
-        return Refusal(cause, not self._attempt.is_known_not_run(), pause)
+        retry_delay = self._retry_after() if retry_delay is None else retry_delay
+        return Refusal(cause, not self._attempt.is_known_not_run(), retry_delay)
 
-    def _pause(self):
-        """Return the seconds after which there is likely room again."""
-        usual = self._usual()
-        return usual * self._knowledge.rng.uniform(0.5, 1.5)
+    def _retry_after(self):
+        """Return the seconds after which capacity is likely to be available."""
+        typical = self._typical_duration()
+        return typical * self._knowledge.rng.uniform(0.5, 1.5)
 
     def _log_answer(self, result):
-        ask = self._ask
+        request = self._request
         log.info(
             "answered",
             extra={
-                "request": ask.id.decode("latin-1"),
+                "request": request.id.decode("latin-1"),
                 "status": result.reply.status,
-                "route": ask.route.name,
+                "route": request.route.name,
                 "targets": self._attempt.targets,
-                "seconds": round(now() - ask.started, 4),
-                "workspace": ask.owner.name,
+                "seconds": round(now() - request.started, 4),
+                "workspace": request.owner.name,
             },
         )
         self._metrics.answers.inc({"status": str(result.reply.status)})
         return result.reply
 
-    # One send.
+    # A single send.
 
     async def _send_next(self, retry_cause):
         """
-        Start a send to the best target that is left.
+        Start a send to the best of the remaining targets.
 
         Args:
-          retry_cause: Why this is not the first send, or None if it is.
+          retry_cause: Why the request is sent again, or None for its first send.
         Returns:
-          None if a send runs, else a `Refusal`.
+          A `Refusal` if no target may be used. None if a send was started, or if no
+          target is suitable for a hedge.
         """
-        ask = self._ask
+        request = self._request
         at = now()
-        answer_bytes = self._knowledge.typical_response_bytes(ask.route)
-        kilobytes = ((ask.length or 0) + answer_bytes) / 1024
-        demand = self._knowledge.request_profile(
-            ask.route, ask.service, ask.started, ask.deadline, kilobytes, at
+        answer_bytes = self._knowledge.typical_response_bytes(request.route)
+        kilobytes = ((request.length or 0) + answer_bytes) / 1024
+        profile = self._knowledge.request_profile(
+            request.route,
+            request.service,
+            request.started,
+            request.deadline,
+            kilobytes,
+            at,
         )
         excluded = self._excluded | set(self._attempt.targets)
-        longest = 0.0 if retry_cause == SLOW else max_token_wait(demand, ask.urgency)
+        max_wait = (
+            0.0
+            if retry_cause == RETRY_CAUSE_SLOW
+            else max_token_wait(profile, request.urgency)
+        )
         choice = self._knowledge.choose(
-            ask.service, demand, excluded, self._has_link, at, longest
+            request.service, profile, excluded, self._has_connection, at, max_wait
         )
-        if retry_cause == SLOW and not _is_worth_hedging(choice):
+        if retry_cause == RETRY_CAUSE_SLOW and not _is_worth_hedging(choice):
             return None
         if choice is None:
             return self._refuse_without_target(at)
         if (
-            _has_no_room(choice, demand, ask.urgency)
+            _would_miss_deadline(choice, profile, request.urgency)
             and self._attempt.is_known_not_run()
         ):
-            return self._refuse(Cause.NO_ROOM)
+            return self._refuse(RefusalCause.OVERLOADED)
         target = choice.candidate.target
         if retry_cause is not None and self._attempt.sends:
-            self._knowledge.shared.note_retry(ask.service, at)
+            self._knowledge.shared.note_retry(request.service, at)
             self._metrics.retries.inc({"cause": retry_cause})
         log.info(
             "sent",
             extra={
-                "request": ask.id.decode("latin-1"),
+                "request": request.id.decode("latin-1"),
                 "target": target.id,
                 "retry": retry_cause,
                 "rule": choice.rule.value,
@@ -366,57 +379,61 @@
         )
         self._knowledge.note_send_start(target)
         wait = choice.candidate.wait
-        self._hedge_at = at + wait + _slow_after(HEDGE_FACTOR, choice)
+        self._hedge_at = at + wait + _slow_threshold(HEDGE_FACTOR, choice)
         if wait:
-            sending = self._send_later(choice)
+            sending = self._send_after_wait(choice)
         else:
             self._attempt.note_send(target.id)
             sending = self._send(choice)
         self._sends.add(asyncio.get_running_loop().create_task(sending))
         return None
 
-    async def _send_later(self, choice):
+    async def _send_after_wait(self, choice):
         """
-        Send to a target once its rate limit allows it, and return the `Result`.
+        Send to a target once its rate limit allows it, and return the `CompletedSend`.
 
-        Until then nothing is sent, so a request that is given up meanwhile may be told
-        that it has not run. Shares may move to other hosts in that time.
+        The attempt records the send only after the wait, so a request refused earlier
+        is known not to have run. The host may lose its share of the limit meanwhile.
         """
         target, limits = choice.candidate.target, self._knowledge.limits
         may_send = False
         try:
             await asyncio.sleep(choice.candidate.wait)
-            may_send = limits.has_share(target, now())
+            may_send = limits.may_send(target, now())
         finally:
             if not may_send:
                 self._knowledge.note_send_end(target)
                 limits.release(target)
         if not may_send:
-            return Result(target, SendOutcome.UNSENT, None, choice.candidate.wait)
+            return CompletedSend(
+                target, SendOutcome.UNSENT, None, choice.candidate.wait
+            )
         self._attempt.note_send(target.id)
         return await self._send(choice)
 
     def _refuse_without_target(self, at):
-        """Return the refusal of a request for which no target may be chosen."""
-        ask = self._ask
-        wait = self._knowledge.limits.retry_after(ask.service, at)
+        """Return the refusal of a request for which no target is available."""
+        request = self._request
+        wait = self._knowledge.limits.retry_after(request.service, at)
         if wait is None:
-            return self._refuse(Cause.NO_TARGET)
-        return self._refuse(Cause.TARGETS_LIMITED, wait, retry_after=round(wait, 3))
+            return self._refuse(RefusalCause.NO_TARGET)
+        return self._refuse(
+            RefusalCause.TARGETS_LIMITED, wait, retry_after=round(wait, 3)
+        )
 
     async def _send(self, choice):
-        """Send to the target of a `Choice` and return the `Result`."""
+        """Send to the target of a `Choice` and return the `CompletedSend`."""
         target = choice.candidate.target
         started = now()
-        sent = Sent(SendOutcome.ABANDONED)
+        sent = SendResult(SendOutcome.ABANDONED)
         stuck = asyncio.get_running_loop().call_later(
-            _slow_after(STUCK_FACTOR, choice), self._note_stuck, choice
+            _slow_threshold(STUCK_FACTOR, choice), self._note_stuck, choice
         )
         try:
-            sent = await self._sender.send(self._ask, target, self._suspicion)
+            sent = await self._sender.send(self._request, target, self._suspect_check)
         finally:
-            fate, seconds = sent.fate, now() - started
-            self._has_begun_rest = self._has_begun_rest or sent.has_begun_rest
+            fate, seconds = sent.outcome, now() - started
+            self._is_body_consumed = self._is_body_consumed or sent.is_body_consumed
             is_stuck = stuck.when() <= asyncio.get_running_loop().time()
             stuck.cancel()
             self._knowledge.note_send_end(target)
@@ -425,31 +442,35 @@
                 self._knowledge.limits.release(target)
             else:
                 self._attempt.note_outcome(fate)
-            if fate is SendOutcome.ABANDONED and seconds > _slow_after(
+            if fate is SendOutcome.ABANDONED and seconds > _slow_threshold(
                 HEDGE_FACTOR, choice
             ):
                 fate = SendOutcome.TIMED_OUT
-            has_waits = (
+            includes_queueing = (
                 Feature.SERVICE_TIMES in self._knowledge.settings.disabled_features
             )
-            work = seconds if has_waits else seconds / choice.slowdown
+            service_time = seconds if includes_queueing else seconds / choice.slowdown
             if not is_stuck:
-                self._knowledge.note_outcome(target, self._ask.route, fate, work)
+                self._knowledge.note_outcome(
+                    target, self._request.route, fate, service_time
+                )
             elif fate is SendOutcome.SUCCEEDED:
-                self._knowledge.note_late_response(target, self._ask.route, work)
+                self._knowledge.note_late_response(
+                    target, self._request.route, service_time
+                )
         if fate is not SendOutcome.SUCCEEDED:
-            self._log_failure(target, sent._replace(fate=fate), seconds)
-        return Result(target, fate, sent.reply, seconds)
+            self._log_failure(target, sent._replace(outcome=fate), seconds)
+        return CompletedSend(target, fate, sent.reply, seconds)
 
     def _note_stuck(self, choice):
         target = choice.candidate.target
         self._knowledge.note_outcome(
-            target, self._ask.route, SendOutcome.TIMED_OUT, 0.0
+            target, self._request.route, SendOutcome.TIMED_OUT, 0.0
         )
         log.info(
             "stuck",
             extra={
-                "request": self._ask.id.decode("latin-1"),
+                "request": self._request.id.decode("latin-1"),
                 "target": target.id,
                 "expected": round(choice.expected_duration, 3),
             },
@@ -459,56 +480,58 @@
         log.info(
             "send failed",
             extra={
-                "request": self._ask.id.decode("latin-1"),
+                "request": self._request.id.decode("latin-1"),
                 "target": target.id,
-                "fate": sent.fate.value,
+                "fate": sent.outcome.value,
                 "status": sent.reply.status if sent.reply else None,
                 "seconds": round(seconds, 4),
-                "key": self._suspicion.key if sent.fate is SendOutcome.BROKEN else None,
-                # These tell a dead connection from a failing target.
+                "key": self._suspect_check.key
+                if sent.outcome is SendOutcome.BROKEN
+                else None,
+                # Distinguishes a stale connection from a failing target.
                 "connection": sent.connection.kind,
                 "age": sent.connection.age,
                 "idle": sent.connection.idle,
             },
         )
 
-    def _has_link(self, life):
-        return self._sender.has_link(self._ask, life)
+    def _has_connection(self, incarnation):
+        return self._sender.has_connection(self._request, incarnation)
 
 
-def _drop(reply):
-    """Let go of an answer that came beside the one that was passed on."""
+def _close_reply(reply):
+    """Close the connection of a streamed reply that is not forwarded."""
     if reply is not None and reply.rest is not None:
         reply.rest.close()
 
 
-def _slow_after(factor, choice):
-    """Return the seconds after which a send is slow, by a factor of the expected."""
-    return max(SLOW_LEAST, factor * choice.expected_duration)
+def _slow_threshold(factor, choice):
+    """Return a multiple of the expected duration, at least `MIN_SLOW_DURATION`."""
+    return max(MIN_SLOW_DURATION, factor * choice.expected_duration)
 
 
-def _has_no_room(choice, demand, urgent):
+def _would_miss_deadline(choice, profile, urgency):
     """
-    Return whether even the best target would answer only after the time is over.
+    Return whether the best target has no free slot and would answer too late.
 
-    A less urgent request leaves the last places in full targets' queues to others.
+    Less urgent requests may use up only a part of their remaining time.
     """
     candidate = choice.candidate
     is_full = candidate.in_flight >= candidate.target.slots
-    return is_full and choice.expected_duration >= demand.time_left * max_wait_share(
-        urgent
+    return is_full and choice.expected_duration >= profile.time_left * max_wait_share(
+        urgency
     )
 
 
 def _is_worth_hedging(choice):
     """
-    Return whether a second send beside a slow first one is worth its load.
+    Return whether the target of a choice is suitable for a hedge.
 
-    When all slots are taken, requests are slow because they wait, and second sends
-    would make all of them wait longer.
+    If all slots are taken, requests are slow because they queue, and hedges would
+    lengthen the queues.
     """
     if choice is None:
         return False
     candidate = choice.candidate
     has_room = candidate.in_flight < candidate.target.slots
-    return has_room and candidate.failure_probability < HEDGE_FAILS_MOST
+    return has_room and candidate.failure_probability < MAX_HEDGE_FAILURE_PROBABILITY
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
@@ -1,5 +1,5 @@
 """
-One send of a request to one target, over a connection that is kept or new.
+Sends a request to one target over a pooled or a new connection.
 """
 
 import asyncio
@@ -13,23 +13,25 @@
 from .clock import now
 from .link import ConnectFailure
 from .outgoing import frame_body, make_head
-from .verdict import Rest, judge, judge_head
+from .verdict import ReplyRest, classify, classify_head
 
 log = logging.getLogger("relay")
-# Answers up to this many bytes are held back until they are whole, so that one that
-# breaks off can still be replaced. Longer ones are passed on while they come.
-HELD_MOST = 65536
-# An order waits on a kept connection only if that was used just now, in seconds: the
-# longer it has been idle, the likelier the target closes it at that very moment.
-ORDER_IDLE_MOST = 6.0
-IDLE_MOST = 60.0
+# Answers up to this many bytes are buffered, so that the request can be retried if the
+# answer is incomplete. Longer answers are streamed.
+MAX_BUFFERED_BODY = 65536
+# Maximum idle seconds of a pooled connection, for orders and uploads and for idempotent
+# requests. The target may close an idle connection while a request is being sent, and
+# an order lost this way cannot be retried.
+MAX_ORDER_IDLE = 6.0
+MAX_IDLE = 60.0
 
 
-class Connection(NamedTuple):
+class ConnectionInfo(NamedTuple):
     """
-    What connection a send had: `new`, `kept`, or why there was none.
+    The connection of a send, for the log.
 
-    `age` and `idle` are in seconds.
+    `kind` is `new`, `kept`, or the reason why there was no connection. `age` and `idle`
+    are in seconds.
     """
 
     kind: str
@@ -37,22 +39,22 @@
     idle: float | None = None
 
 
-class Sent(NamedTuple):
+class SendResult(NamedTuple):
     """
-    What one send came to.
+    The result of a send.
 
-    `has_begun_rest` is set once a part of a long body was read that is not kept.
+    `is_body_consumed` tells whether a streamed body was sent, which cannot be repeated.
     """
 
-    fate: SendOutcome
+    outcome: SendOutcome
     reply: Reply | None = None
-    connection: Connection = Connection("none")
-    has_begun_rest: bool = False
+    connection: ConnectionInfo = ConnectionInfo("none")
+    is_body_consumed: bool = False
 
 
 class Sender:
     """
-    What sends the requests of one host.
+    Sends the requests of one host.
 
     Args:
       knowledge: The `HostState`.
@@ -67,22 +69,22 @@
         self._metrics = metrics
         self._endings = endings
 
-    def has_link(self, ask, life):
-        """Return whether there is a kept connection for a request to a target."""
-        return self._links.has_idle(life, _idle_most(ask))
+    def has_connection(self, request, incarnation):
+        """Return whether there is a pooled connection that a request may use."""
+        return self._links.has_idle(incarnation, _max_idle(request))
 
-    async def send(self, ask, target, suspicion):
+    async def send(self, request, target, suspect_check):
         """
-        Get a connection, send, and wait for the answer or its first part.
+        Get a connection, send a request, and wait for the answer or its first part.
 
         Args:
-          ask: The `Ask`.
+          request: The `ProxyRequest`.
           target: The `Target`.
-          suspicion: The request's `Suspicion`.
+          suspect_check: The request's `SuspectCheck`.
         Returns:
-          A `Sent`.
+          A `SendResult`.
         """
-        link = self._links.acquire(target.incarnation, _idle_most(ask))
+        link = self._links.acquire(target.incarnation, _max_idle(request))
         is_new = link is None
         if link is None:
             link = await self._links.open(target)
@@ -90,66 +92,70 @@
         if isinstance(link, ConnectFailure):
             if link is ConnectFailure.REFUSED:
                 self._endings.note_refused(target)
-            return Sent(SendOutcome.UNREACHABLE, None, Connection(link.value))
+            return SendResult(SendOutcome.UNREACHABLE, None, ConnectionInfo(link.value))
         at = now()
         age = round(at - link.opened_at, 3)
         idle = 0.0 if is_new else round(at - link.last_used_at, 3)
-        connection = Connection("new" if is_new else "kept", age, idle)
-        is_late = ask.deadline <= at or ask.caller.is_gone()
-        if is_late or not self._knowledge.is_usable(target):
+        connection = ConnectionInfo("new" if is_new else "kept", age, idle)
+        is_too_late = request.deadline <= at or request.caller.is_gone()
+        if is_too_late or not self._knowledge.is_usable(target):
             self._links.release_unused(target.incarnation, link)
-            return Sent(SendOutcome.UNSENT, None, connection)
-        fate, reply = await self._talk(ask, target, link, suspicion)
-        return Sent(fate, reply, connection, ask.rest is not None)
+            return SendResult(SendOutcome.UNSENT, None, connection)
+        outcome, reply = await self._exchange(request, target, link, suspect_check)
+        return SendResult(outcome, reply, connection, request.rest is not None)
 
-    async def _talk(self, ask, target, link, suspicion):
-        """Send on a connection, read the answer, and return a fate and a reply."""
+    async def _exchange(self, request, target, link, suspect_check):
+        """Send on a connection and return the outcome and the `Reply` or None."""
         sent_at = now()
         exchange = link.start_exchange(
-            make_head(ask, target, ask.deadline - sent_at), ask.id
+            make_head(request, target, request.deadline - sent_at), request.id
         )
-        fate = None
-        is_done = False
+        outcome = None
+        is_streaming = False
         try:
-            if ask.rest is not None:
-                sending = asyncio.ensure_future(_send_body(link, ask))
-                await exchange.wait_for_body(HELD_MOST)
+            if request.rest is not None:
+                sending = asyncio.ensure_future(_send_body(link, request))
+                await exchange.wait_for_body(MAX_BUFFERED_BODY)
                 sending.cancel()
             else:
-                await exchange.wait_for_body(HELD_MOST)
+                await exchange.wait_for_body(MAX_BUFFERED_BODY)
             if exchange.outcome is None and exchange.has_head:
-                fate, reply = judge_head(exchange, Rest(exchange, link))
-                is_done = fate is SendOutcome.SUCCEEDED
-                # Of a long answer that is a failure nobody will read the rest.
-                return fate, reply if is_done else None
-            fate, reply = judge(exchange)
-            return fate, reply
+                outcome, reply = classify_head(exchange, ReplyRest(exchange, link))
+                is_streaming = outcome is SendOutcome.SUCCEEDED
+                # The rest of a long error response is not read.
+                return outcome, reply if is_streaming else None
+            outcome, reply = classify(exchange)
+            return outcome, reply
         finally:
-            suspicion.note_send(target, exchange, fate)
+            suspect_check.note_send(target, exchange, outcome)
             if exchange.has_head:
                 self._knowledge.limits.note_answer(
-                    target, exchange.headers, fate, sent_at, ask.id
+                    target, exchange.headers, outcome, sent_at, request.id
                 )
-            if not is_done:
+            if not is_streaming:
                 self._links.release(target.incarnation, link)
 
 
-def _idle_most(ask):
-    """Return the most seconds for which a connection may have been idle."""
-    return IDLE_MOST if ask.route.kind.is_idempotent else ORDER_IDLE_MOST
+def _max_idle(request):
+    """Return the maximum idle seconds of a connection for a request."""
+    return MAX_IDLE if request.route.kind.is_idempotent else MAX_ORDER_IDLE
 
 
-async def _send_body(link, ask):
+async def _send_body(link, request):
     """
-    Pass a long body on; if its caller breaks off, so does the connection.
+    Stream a body to a target.
 
-    The target would wait for the rest until its time is over otherwise.
+    If the caller aborts the upload, the connection is closed, so that the target does
+    not wait for the rest.
     """
     try:
-        await link.send_body(frame_body(ask))
+        await link.send_body(frame_body(request))
     except (web.RequestPayloadError, OSError) as exc:
         log.info(
-            "upload broke off",
-            extra={"request": ask.id.decode("latin-1"), "cause": type(exc).__name__},
+            "upload aborted",
+            extra={
+                "request": request.id.decode("latin-1"),
+                "cause": type(exc).__name__,
+            },
         )
         link.close()
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
@@ -1,5 +1,5 @@
 """
-What one request has to do with targets that ended, from its first byte to its answer.
+Checks one request against the requests that are suspected of crashing targets.
 """
 
 import functools
@@ -10,10 +10,10 @@
 from plumsaddle_core.ops.suspects import MAX_CRASHES_TO_RETRY, RunRecord
 
 from .clock import now
-from .outgoing import key_of
+from .outgoing import compute_request_key
 
-# Fates that show that a target ran the request and is still there.
-RAN = {
+# Outcomes which show that a target answered the request and did not crash.
+ANSWERED_OUTCOMES = {
     SendOutcome.SUCCEEDED,
     SendOutcome.FAILED,
     SendOutcome.UNSIGNED,
@@ -21,74 +21,76 @@
 }
 
 
-class Suspicion:
+class SuspectCheck:
     """
-    Whether a request may be sent, and what its sends tell.
+    Decides whether a request may be sent, and records the crashes under it.
 
     Args:
-      ask: The `Ask`.
-      attempt: The `Attempt`, which tells whether the request has its answer.
+      request: The `ProxyRequest`.
+      attempt: Its `Attempt`.
       knowledge: The `HostState`.
       endings: The `CrashDetector`.
     """
 
-    def __init__(self, ask, attempt, knowledge, endings):
-        self._ask = ask
+    def __init__(self, request, attempt, knowledge, endings):
+        self._request = request
         self._attempt = attempt
         self._suspects = knowledge.shared.suspects
         self._knowledge = knowledge
         self._endings = endings
-        self._is_off = Feature.SUSPECT_HOLDS in knowledge.settings.disabled_features
+        self._is_disabled = (
+            Feature.SUSPECT_HOLDS in knowledge.settings.disabled_features
+        )
 
     @functools.cached_property
     def key(self):
-        """The key under which the request is known when it comes again."""
-        return key_of(self._ask)
+        """The request key, which stays the same if the caller retries the request."""
+        return compute_request_key(self._request)
 
     @property
-    def lives(self):
-        """How many lives of targets are known to have ended under the request."""
+    def crash_count(self):
+        """How many incarnations of targets are known to have crashed under it."""
         return self._suspects.crash_count(self.key)
 
-    def held_for(self):
-        """Return for how many seconds the request is held back, 0.0 if it is not."""
-        if self._is_off or not len(self._suspects):
+    def hold_remaining(self):
+        """Return for how many seconds the request is still held back, or 0.0."""
+        if self._is_disabled or not len(self._suspects):
             return 0.0
         return self._suspects.hold_remaining(self.key, now())
 
     def may_retry(self):
         """
-        Return whether the request may go to one more target after a failed send.
+        Return whether the request may be retried at another target.
 
-        Else own retries would carry it from one target to the next before anybody can
-        know that it ends them.
+        Otherwise the host's own retries could crash several targets before the request
+        is held back.
         """
-        return self._count_ends() <= MAX_CRASHES_TO_RETRY
+        return self._possible_crash_count() <= MAX_CRASHES_TO_RETRY
 
     def may_hedge(self):
-        """Return whether a second send beside the first one may go out."""
-        return self._count_ends() == 0
+        """Return whether the request may be hedged."""
+        return self._possible_crash_count() == 0
 
-    def _count_ends(self):
-        """Return how many targets have, or may have, ended under the request."""
+    def _possible_crash_count(self):
+        """Return how many targets have crashed, or may have, under the request."""
         has_any = len(self._suspects) or self._endings.has_unresolved
-        if self._is_off or not has_any:
+        if self._is_disabled or not has_any:
             return 0
-        return self.lives + self._endings.unresolved_count(self.key)
+        return self.crash_count + self._endings.unresolved_count(self.key)
 
-    def note_send(self, target, exchange, fate):
+    def note_send(self, target, exchange, outcome):
         """
-        Take what a send tells of its target and the request together.
+        Record what the outcome of a send says about a crash of its target.
 
         Args:
           target: The `Target`.
           exchange: The `Exchange`.
-          fate: The `SendOutcome`, or None if the send was given up.
+          outcome: The `SendOutcome`, or None if the send was cancelled.
         """
-        if fate is SendOutcome.BROKEN and not exchange.has_head:
+        if outcome is SendOutcome.BROKEN and not exchange.has_head:
             self._endings.note_broken(target, self.key)
-        elif fate in RAN:
+        elif outcome in ANSWERED_OUTCOMES:
             if len(self._suspects):
                 self._knowledge.note_run(RunRecord(self.key, target.incarnation, False))
-        elif fate is None and self._attempt.stage is not Stage.ANSWERED:
+        elif outcome is None and self._attempt.stage is not Stage.ANSWERED:
             self._endings.note_unanswered(target, self.key)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/verdict.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/verdict.py
@@ -1,5 +1,5 @@
 """
-What a target's answer says of its request, and the rest of an answer that is long.
+Determines the outcome of a send from the answer, and reads the rest of long answers.
 """
 
 from plumsaddle_core.core.traffic import Reply, SendOutcome
@@ -7,15 +7,15 @@
 from ..platform import wire
 
 
-def judge(exchange):
-    """Return the fate and the `Reply` of an exchange that has ended."""
+def classify(exchange):
+    """Return the outcome and the `Reply` of an exchange that has ended."""
     if exchange.outcome is not SendOutcome.SUCCEEDED:
         return SendOutcome.BROKEN, None
-    return judge_head(exchange, None)
+    return classify_head(exchange, None)
 
 
-def judge_head(exchange, rest):
-    """Return the fate that an answer's status and headers tell, and its `Reply`."""
+def classify_head(exchange, rest):
+    """Return the outcome according to status and headers, and the `Reply`."""
     headers = {name.lower(): value for name, value in exchange.headers}
     body = bytes(exchange.body)
     exchange.body.clear()
@@ -37,13 +37,13 @@
     return SendOutcome.SUCCEEDED, reply
 
 
-class Rest:
+class ReplyRest:
     """
-    The rest of a long answer, read while it comes.
+    The rest of a long answer, which is streamed.
 
     Args:
       exchange: The `Exchange`.
-      link: Its `TargetConnection`, which is closed afterwards.
+      link: Its `TargetConnection`, which `close` closes.
     """
 
     def __init__(self, exchange, link):
@@ -51,7 +51,7 @@
         self._link = link
 
     async def read(self):
-        """Return the next part, b"" at the end, or None if the answer broke off."""
+        """Return the next part, b"" at the end, or None if the answer is incomplete."""
         exchange = self._exchange
         self._link.resume_reading()
         while not exchange.body and exchange.outcome is None:
