--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
@@ -135,7 +135,7 @@
     packed: bytes
 
 
-class Far(msgspec.Struct, array_like=True, tag="f"):
+class DataCentreUpdate(msgspec.Struct, array_like=True, tag="f"):
     """What hosts of other data centres are told; passed on once in each of them."""
 
     host: str
@@ -166,11 +166,11 @@
     quotas: list[QuotaFields] = []
 
 
-Message = Hello | Members | Work | Bundle | Packed | Records | Far | Load
+Message = Hello | Members | Work | Bundle | Packed | Records | DataCentreUpdate | Load
 decode = msgspec.msgpack.Decoder(Message).decode
 decode_bundle = msgspec.msgpack.Decoder(Bundle).decode
 decode_work = msgspec.msgpack.Decoder(Work).decode
-decode_far = msgspec.msgpack.Decoder(Far).decode
+decode_far = msgspec.msgpack.Decoder(DataCentreUpdate).decode
 encode = msgspec.msgpack.Encoder().encode
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -4,7 +4,7 @@
 
 from plumsaddle_core.core.parts import Feature
 
-from .messages import Far, Load, encode
+from .messages import DataCentreUpdate, Load, encode
 from .strangers import Strangers
 
 # The address that spoke for another data centre last is taken for its hub this long
@@ -69,7 +69,7 @@
             evidence = []
         limits = self._limit_rows(is_periodic=bool(used))
         if evidence or used or runs or limits:
-            far = Far(settings.id, self._life, settings.data_centre, evidence, used)
+            far = DataCentreUpdate(settings.id, self._life, settings.data_centre, evidence, used)
             far.runs = runs
             far.limits = limits
             self._send_to_each(encode(far), at)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -21,7 +21,7 @@
 from ..utils.addresses import is_address
 from .messages import (
     Bundle,
-    Far,
+    DataCentreUpdate,
     Load,
     Members,
     Packed,
@@ -114,7 +114,7 @@
             self._take_bundle(unpack_bundle(message), address, at)
         elif isinstance(message, Records):
             self._readers.take_records(message, at)
-        elif isinstance(message, Far):
+        elif isinstance(message, DataCentreUpdate):
             self._take_far(message, address, at)
         elif isinstance(message, Load):
             self._take_load(message, address, at)
