--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -36,7 +36,7 @@
 from .knowledge import HostState
 from .links import ConnectionPool
 from .metrics import EdgeMetrics
-from .peers import Peers
+from .peers import PeerProtocol
 from .relay import Relay
 from .sender import Sender
 from .stored import TOPIC as STORED_TOPIC, StoredSuspects
@@ -133,7 +133,9 @@
                 SELDOM,
             ),
         ]
-        self.peers = Peers(settings, self.knowledge.shared, gate, self._feeds, rng)
+        self.peers = PeerProtocol(
+            settings, self.knowledge.shared, gate, self._feeds, rng
+        )
         configurations = self._feeds[0]
         self.knowledge.subscribe(
             self.peers.tell_soon, self._end_life, configurations.age
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -69,7 +69,9 @@
             evidence = []
         limits = self._limit_rows(is_periodic=bool(used))
         if evidence or used or runs or limits:
-            far = DataCentreUpdate(settings.id, self._life, settings.data_centre, evidence, used)
+            far = DataCentreUpdate(
+                settings.id, self._life, settings.data_centre, evidence, used
+            )
             far.runs = runs
             far.limits = limits
             self._send_to_each(encode(far), at)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -75,7 +75,7 @@
 ECHOES_AWAITED = 64
 
 
-class Peers(asyncio.DatagramProtocol):
+class PeerProtocol(asyncio.DatagramProtocol):
     """
     The datagram socket of a host.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -26,7 +26,7 @@
 from .gate import StoreAccess
 from .messages import Bundle, Records, Work, decode, unpack_records
 from .others import HUB_KNOWN_FOR
-from .peers import HUB_EVERY, START_ALONE_FOR, Peers
+from .peers import HUB_EVERY, START_ALONE_FOR, PeerProtocol
 
 CENTRES = ("x", "y")
 encode = msgspec.msgpack.encode
@@ -59,7 +59,7 @@
         )
         shared = SharedState(0.2, 10.0, started=-100.0)
         gate = StoreAccess(_ignore, _ignore, _ignore)
-        peers = Peers(settings_, shared, gate, [], self._rng, self.call_later)
+        peers = PeerProtocol(settings_, shared, gate, [], self._rng, self.call_later)
         peers.connection_made(_Transport(self, address))
         self.hosts[address] = peers
         return peers, shared, address
--- a/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
@@ -27,7 +27,7 @@
 from plumsaddle_core.ops.zone import SharedState
 from plumsaddle_hosts.edge import peers as module
 from plumsaddle_hosts.edge.gate import StoreAccess
-from plumsaddle_hosts.edge.peers import Peers
+from plumsaddle_hosts.edge.peers import PeerProtocol
 
 SIZES = (12, 45, 60, 100)
 CENTRES = ("x",)
@@ -113,7 +113,7 @@
         )
         shared = SharedState(0.2, 10.0, started=0.0)
         gate = StoreAccess(_ignore, _ignore, _ignore)
-        peers = Peers(settings, shared, gate, [], self._rng, self._call_later)
+        peers = PeerProtocol(settings, shared, gate, [], self._rng, self._call_later)
         if not has_hub:
             peers._peer_table.pick_hub = lambda at: False
         peers.connection_made(_Transport(self, number, address))
