--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -138,7 +138,7 @@
         )
         configurations = self._feeds[0]
         self.knowledge.subscribe(
-            self.peers.tell_soon, self._end_life, configurations.age
+            self.peers.send_update_soon, self._end_life, configurations.age
         )
         self._servers = []
         self._tasks = []
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -147,7 +147,7 @@
         """Take settings that were read anew; the seeds may have changed."""
         self._settings = settings
 
-    def tell_soon(self, is_urgent):
+    def send_update_soon(self, is_urgent):
         """
         Tell the others of this host's work, as soon as the allowance lets it.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -186,7 +186,7 @@
     hub = _hub(net, hosts[:3])
     peers, shared, _ = next(host for host in hosts[:3] if host[2] != hub)
     shared.note_outcome("t", "act", "r", HealthSignal.FAILED, 0.001, net.at)
-    peers.tell_soon(is_urgent=True)
+    peers.send_update_soon(is_urgent=True)
     net.deliver()
     for _, other, _ in hosts[:3]:
         assert other.failure_probability("t", net.at) > 0.6
@@ -199,7 +199,7 @@
     peers, shared, _ = host
     note = RunRecord("key", "life", True)
     shared.suspects.add(note, net.at, is_own=True)
-    peers.tell_soon(is_urgent=True)
+    peers.send_update_soon(is_urgent=True)
 
 
 def test_an_end_under_a_request_is_known_in_all_data_centres_at_once(net):
@@ -247,10 +247,10 @@
     peers, shared, address = next(host for host in hosts[:3] if host[2] != hub)
     for _ in range(6):
         shared.note_outcome("t", "act", "r", HealthSignal.SUCCEEDED, 0.2, net.at)
-    peers.tell_soon(is_urgent=False)
+    peers.send_update_soon(is_urgent=False)
     net.deliver()
     shared.note_outcome("t", "act", "r", HealthSignal.SUCCEEDED, 0.2, net.at)
-    peers.tell_soon(is_urgent=False)
+    peers.send_update_soon(is_urgent=False)
     sent = []
     while net.sent or net._later:
         net.run_calls()
@@ -302,7 +302,7 @@
     hosts = _fleet(net, 2)
     peers, shared, address = hosts[0]
     shared.note_send_start("t", net.at)
-    peers.tell_soon(is_urgent=False)
+    peers.send_update_soon(is_urgent=False)
     net.deliver()
     again, fresh, _ = hosts[0]
     again.__init__(
@@ -316,7 +316,7 @@
     again.connection_made(_Transport(net, address))
     again._peer_table.note_heard(hosts[1][2], net.at)
     fresh.note_send_start("t", net.at)
-    again.tell_soon(is_urgent=False)
+    again.send_update_soon(is_urgent=False)
     net.deliver()
     assert hosts[1][1].in_flight("t") == 2
 
@@ -361,7 +361,7 @@
     hosts = _fleet(net)
     for peers, shared, _ in hosts[:2]:
         shared.note_send_start("t", net.at)
-        peers.tell_soon(is_urgent=False)
+        peers.send_update_soon(is_urgent=False)
     net.deliver()
     net.play(0.5)
     for _, shared, _ in hosts:
@@ -379,7 +379,7 @@
     hub = _hub(net, hosts[:3])
     left = [host for host in hosts[:3] if host[2] != hub]
     left[0][1].note_send_start("t", net.at)
-    left[0][0].tell_soon(is_urgent=False)
+    left[0][0].send_update_soon(is_urgent=False)
     net.deliver()
     net.cut.add(hub)
     net.play(REMOTE_LOAD_TTL + HUB_SILENT_FOR)
@@ -418,7 +418,7 @@
     assert _hub(net, left) != hub
     peers, shared, _ = left[-1]
     shared.note_outcome("t", "act", "r", HealthSignal.FAILED, 0.001, net.at)
-    peers.tell_soon(is_urgent=True)
+    peers.send_update_soon(is_urgent=True)
     net.deliver()
     for _, other, _ in left:
         assert other.failure_probability("t", net.at) > 0.6
@@ -440,7 +440,7 @@
     assert _hub(net, left) != hub
     frozen = next(host for host in hosts[:4] if host[2] == hub)
     frozen[1].note_send_start("t", net.at)
-    frozen[0].tell_soon(is_urgent=False)
+    frozen[0].send_update_soon(is_urgent=False)
     net.deliver()
     assert all(shared.in_flight("t") == 1 for _, shared, _ in left)
     net.play(HUB_RETRY_DELAY)
@@ -476,10 +476,10 @@
         # The hub goes on telling all hosts of the others' work.
         for peers, shared, _ in others:
             shared.note_outcome("u", "act", "r", HealthSignal.SUCCEEDED, 0.2, net.at)
-            peers.tell_soon(is_urgent=False)
+            peers.send_update_soon(is_urgent=False)
         net.play(HUB_EVERY)
     apart[1].note_send_start("t", net.at)
-    apart[0].tell_soon(is_urgent=False)
+    apart[0].send_update_soon(is_urgent=False)
     net.deliver()
     assert all(shared.in_flight("t") == 1 for _, shared, _ in hosts[:4])
 
@@ -497,7 +497,7 @@
     net.play(HUB_SILENT_FOR + 2 * HUB_EVERY)
     for number, (peers, shared, _) in enumerate(hosts[:4]):
         shared.note_send_start(f"t{number}", net.at)
-        peers.tell_soon(is_urgent=False)
+        peers.send_update_soon(is_urgent=False)
     net.deliver()
     for _, shared, _ in hosts[:4]:
         assert [shared.in_flight(f"t{number}") for number in range(4)] == [1, 1, 1, 1]
@@ -519,7 +519,7 @@
     for peers, shared, address in hosts:
         if address != hub:
             shared.note_send_start("t", net.at)
-            peers.tell_soon(is_urgent=False)
+            peers.send_update_soon(is_urgent=False)
     net.run_calls()
     assert len(net.sent) == count - 1
     net.deliver()
@@ -590,7 +590,7 @@
     peers._call_later = lambda seconds, function: (
         waits.append(seconds) or _Call(function)
     )
-    peers.tell_soon(is_urgent=False)
+    peers.send_update_soon(is_urgent=False)
     peers._allowances.spend(10_000, 0, net.at)
-    peers.tell_soon(is_urgent=True)
+    peers.send_update_soon(is_urgent=True)
     assert len(waits) == 1
--- a/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
@@ -156,7 +156,7 @@
             self._lost.add(hub)
         peers, shared = self._hosts[address]
         shared.suspects.add(RunRecord("key", "life", True), self.at, is_own=True)
-        peers.tell_soon(is_urgent=True)
+        peers.send_update_soon(is_urgent=True)
         begin = self.at
         while self.at - begin < SPREAD_MOST and not self._is_known_to_all():
             self._play(SPREAD_STEP)
@@ -201,7 +201,7 @@
         target = self._rng.choice(self._targets)
         self._true[target] = self._true.get(target, 0) + 1
         shared.note_send_start(target, self.at)
-        self._measure(peers.tell_soon, False)
+        self._measure(peers.send_update_soon, False)
         seconds = self._rng.expovariate(1 / WORK)
         self._push(seconds, self._end, peers, shared, target, seconds)
 
@@ -209,7 +209,7 @@
         self._true[target] -= 1
         shared.note_send_end(target)
         shared.note_outcome(target, "s", "r", HealthSignal.SUCCEEDED, seconds, self.at)
-        self._measure(peers.tell_soon, False)
+        self._measure(peers.send_update_soon, False)
 
     def _sample(self):
         self._push(SAMPLE_EVERY, self._sample)
