--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -232,7 +232,7 @@
             self.endings.tick(at)
             self.stored.forget_old(at)
             self.stored.write_soon()
-            self.peers.beat(at)
+            self.peers.send_heartbeat(at)
             self._look_at_settings()
             cfg = self.knowledge.cfg
             if cfg is not None:
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -168,7 +168,7 @@
         self._due_at = at + wait
         self._due = self._call_later(wait, self._tell)
 
-    def beat(self, at):
+    def send_heartbeat(self, at):
         """Tell the others that this host lives, and look for others."""
         self._peer_table.evict_silent(at)
         for host in self._shared.evict_silent(at):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -108,7 +108,7 @@
                 if address in self.cut:
                     continue
                 if is_second:
-                    peers.beat(self.at)
+                    peers.send_heartbeat(self.at)
                 peers.tick(self.at)
             self.deliver()
 
@@ -280,9 +280,9 @@
         )
         # The gateway is drawn anew while no hub there is known, and each note goes out
         # twice.
-        peers.beat(net.at)
+        peers.send_heartbeat(net.at)
         net.deliver()
-    peers.beat(net.at)
+    peers.send_heartbeat(net.at)
     net.deliver()
     for _, shared, _ in hosts[4:]:
         known = sum(
@@ -347,7 +347,7 @@
     peers, shared, address = made.add("x0", "x")
     shared.note_send_start("t", made.at)
     peers.datagram_received(data, ("10.0.0.9", 7000))
-    peers.beat(made.at)
+    peers.send_heartbeat(made.at)
     assert shared.in_flight("t") == 1
     assert 0.0 < shared.failure_probability("t", made.at) < 1.0
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
@@ -191,7 +191,7 @@
 
     def _beat(self, peers):
         self._push(1.0, self._beat, peers)
-        self._measure(peers.beat, self.at)
+        self._measure(peers.send_heartbeat, self.at)
 
     def _tick(self, peers):
         self._push(self._measure(peers.tick, self.at), self._tick, peers)
