--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -260,7 +260,7 @@
             return
         self.settings = result.unwrap()
         self.knowledge.settings = self.settings
-        self.peers.take_settings(self.settings)
+        self.peers.apply_settings(self.settings)
         log.info("reload", extra={"cause": cause})
 
     async def _answer_operator(self, request):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -143,7 +143,7 @@
         if self._transport is not None:
             self._transport.close()
 
-    def take_settings(self, settings):
+    def apply_settings(self, settings):
         """Take settings that were read anew; the seeds may have changed."""
         self._settings = settings
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -164,7 +164,7 @@
             seeds = seeds or (host[2],)
             hosts.append(host)
     first_x, first_y = hosts[0], hosts[count]
-    first_x[0].take_settings(first_x[0]._settings._replace(seeds=(first_y[2],)))
+    first_x[0].apply_settings(first_x[0]._settings._replace(seeds=(first_y[2],)))
     net.play(4.0)
     return hosts
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_faults_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_faults_test.py
@@ -203,7 +203,7 @@
     async with Trial(services=("act",), targets=2, hosts=1) as trial:
         alone = trial.hosts[0]
         later = free_port()
-        alone.peers.take_settings(
+        alone.peers.apply_settings(
             alone.settings._replace(seeds=(f"127.0.0.1:{later}", "127.0.0.1:1"))
         )
         assert (await trial.ask("/act/a", "id-1", "POST"))[0] == 200
