--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -61,7 +61,7 @@
 SUMS_MOST = 0.8
 # A hub tells its clients something at least this often (seconds), so that they notice
 # its loss.
-HUB_EVERY = 0.2
+HUB_SEND_INTERVAL = 0.2
 # How often (seconds) a host that is no hub looks whether it should be, or has lost it.
 TICK_EVERY = 0.25
 # A host that has others to ask does no part for its data centre before this age, in
@@ -232,9 +232,9 @@
                 self._others.tell_load(at)
         elif not self._collected.clients(at):
             return TICK_EVERY
-        if at - self._bundled_at >= HUB_EVERY:
+        if at - self._bundled_at >= HUB_SEND_INTERVAL:
             self._send_bundle(at)
-        if at - self._bundled_at >= HUB_EVERY:
+        if at - self._bundled_at >= HUB_SEND_INTERVAL:
             # There was nothing to tell but that it is here.
             self._send(encode(Bundle()), *self._collected.clients(at))
             self._bundled_at = at
