--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -66,7 +66,7 @@
 TICK_EVERY = 0.25
 # A host that has others to ask does no part for its data centre before this age, in
 # seconds.
-START_ALONE_FOR = 1.5
+DISCOVERY_PERIOD = 1.5
 # Rate limits of targets that a heartbeat of a host that is no hub tells again. The hub
 # may have just started and know none.
 LIMITS_REPEATED = 2
@@ -256,7 +256,7 @@
         takes itself for the first: 293 hosts would all read the store and speak to the
         other data centres ten times a second.
         """
-        is_old = at - self._started >= START_ALONE_FOR
+        is_old = at - self._started >= DISCOVERY_PERIOD
         return is_old or not self._settings.has_seeds
 
     def _picked_itself(self):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -26,7 +26,7 @@
 from .gate import StoreAccess
 from .messages import Bundle, Records, Work, decode, unpack_records
 from .others import HUB_KNOWN_FOR
-from .peers import HUB_SEND_INTERVAL, START_ALONE_FOR, PeerProtocol
+from .peers import HUB_SEND_INTERVAL, DISCOVERY_PERIOD, PeerProtocol
 
 CENTRES = ("x", "y")
 encode = msgspec.msgpack.encode
@@ -533,7 +533,7 @@
     """
     seed = ("10.0.0.1:7000",)
     hosts = [net.add(f"{c}{n}", c, seed) for c in CENTRES for n in range(6)]
-    net.play(START_ALONE_FOR / 2)
+    net.play(DISCOVERY_PERIOD / 2)
     spoken = [peers for peers, _, _ in hosts if peers._others._load_number]
     reading = [peers for peers, _, _ in hosts if peers._readers.is_reader]
     # The seed itself asks nobody.
