--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -95,7 +95,7 @@
         self._rng = rng
         self._call_later = call_later or _call_later
         for feed in feeds:
-            feed.subscribe(self.tell_page)
+            feed.subscribe(self.forward_page)
         # Drawn and not taken from a clock: the time of day jumps back, and then a
         # restarted host would look older than it was and be ignored.
         self._life = secrets.randbits(48)
@@ -348,7 +348,7 @@
         has_room = self._allowances.has_bandwidth(at)
         return age >= SUMS_MOST or (age >= SUMS_EVERY and has_room)
 
-    def tell_page(self, topic, page):
+    def forward_page(self, topic, page):
         """
         Tell the other hosts what this one has read, if it reads for them.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -559,7 +559,7 @@
     reader = next(peers for peers, _, _ in hosts[:4] if peers._readers.is_reader)
     net.sent.clear()
     page = Page([KeyedRecord(11, "t-1", None), KeyedRecord(12, "t-2", b"x")], 13)
-    reader.tell_page("topic", page)
+    reader.forward_page("topic", page)
     told = [decode(data) for _, data, _ in net.sent]
     records = [message for message in told if isinstance(message, Records)]
     assert len(records) == 3
