--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -26,7 +26,7 @@
 from .gate import StoreAccess
 from .messages import Bundle, Records, Work, decode, unpack_records
 from .others import HUB_KNOWN_FOR
-from .peers import HUB_SEND_INTERVAL, DISCOVERY_PERIOD, PeerProtocol
+from .peers import DISCOVERY_PERIOD, HUB_SEND_INTERVAL, PeerProtocol
 
 CENTRES = ("x", "y")
 encode = msgspec.msgpack.encode
