--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -12,7 +12,7 @@
     OutcomeRecord,
     PeerUpdate,
     RemoteUpdate,
-    tag_of,
+    target_tag,
 )
 from .registry import Registry
 from .zone import SharedState
@@ -26,7 +26,7 @@
     notes = tuple(
         OutcomeRecord(n, t, "look", "r", sign, 0.3) for n, t, sign in outcomes
     )
-    tags = {tag_of(target): count for target, count in (in_flight or {}).items()}
+    tags = {target_tag(target): count for target, count in (in_flight or {}).items()}
     return PeerUpdate(host, 1, number, tags, notes, {"look": Counts()})
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/news.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/news.py
@@ -128,7 +128,7 @@
 
 
 @functools.lru_cache(maxsize=65536)
-def tag_of(target):
+def target_tag(target):
     """
     Return the tag of a target's incarnation: a 32-bit checksum that shortens messages.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -39,7 +39,7 @@
     Inbox,
     Outbox,
     OutcomeRecord,
-    tag_of,
+    target_tag,
 )
 from .share import CentreRetryBudget
 from .suspects import SuspectRequests
@@ -133,7 +133,7 @@
 
     def note_send_start(self, target_id, now):
         """Record that this host has started a send."""
-        self._note_used(tag_of(target_id), now)
+        self._note_used(target_tag(target_id), now)
         self._own_in_flight[target_id] = self._own_in_flight.get(target_id, 0) + 1
 
     def note_send_end(self, target_id):
@@ -215,7 +215,8 @@
     def own_in_flight(self):
         """Return this host's requests in flight by target tag."""
         return {
-            tag_of(target_id): count for target_id, count in self._own_in_flight.items()
+            target_tag(target_id): count
+            for target_id, count in self._own_in_flight.items()
         }
 
     def tags_used_since(self, since):
@@ -259,7 +260,7 @@
         for outcome in unseen:
             if outcome.seconds < SHORT_SEND:
                 # It may have started and ended between two updates.
-                self._note_used(tag_of(outcome.target), now)
+                self._note_used(target_tag(outcome.target), now)
             self._apply_outcome(outcome, now)
         return True
 
@@ -297,7 +298,7 @@
             self._used_at[tag] = now
         unseen = inbox.unseen(update.evidence)
         for evidence in unseen:
-            self._used_at[tag_of(evidence.target)] = now
+            self._used_at[target_tag(evidence.target)] = now
             # Some failures are visible from one data centre only, so remote evidence
             # has half the weight of local evidence.
             self._estimator(evidence.target).update(math.sqrt(evidence.ratio), now)
@@ -350,7 +351,7 @@
 
     def last_used_at(self, target_id):
         """Return when a host of any data centre last sent to a target."""
-        return self._used_at.get(tag_of(target_id), -math.inf)
+        return self._used_at.get(target_tag(target_id), -math.inf)
 
     def evict_silent(self, now):
         """Evict hosts that have stopped sending, and return their ids."""
@@ -378,7 +379,7 @@
 
     def in_flight(self, target_id):
         """Return the requests in flight at a target from all known hosts."""
-        tag = tag_of(target_id)
+        tag = target_tag(target_id)
         here = self._own_in_flight.get(target_id, 0) + self._peers_in_flight[tag]
         return here + self._remote_loads.in_flight(tag)
 
@@ -432,7 +433,7 @@
             key: b for key, b in self.path_estimators.items() if key in known
         }
         self.limits.advertised.evict(known, now)
-        tags = {tag_of(key) for key in known}
+        tags = {target_tag(key) for key in known}
         for tag in self._used_at.keys() - tags:
             del self._used_at[tag]
             self._local_used_at.pop(tag, None)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
@@ -6,7 +6,7 @@
 
 from ..core.traffic import RequestKind, Target, TargetState
 from .choice import Candidate, RequestProfile, choose_target
-from .news import Counts, HealthSignal, OutcomeRecord, PeerUpdate, tag_of
+from .news import Counts, HealthSignal, OutcomeRecord, PeerUpdate, target_tag
 from .share import SAFETY_FACTOR, CentreRetryBudget
 from .times import DEFAULT_DURATION
 from .zone import PEER_TIMEOUT, SharedState
@@ -22,7 +22,7 @@
     notes = tuple(
         OutcomeRecord(n, t, "look", "r", sign, 0.3) for n, t, sign in outcomes
     )
-    tags = {tag_of(target): count for target, count in (in_flight or {}).items()}
+    tags = {target_tag(target): count for target, count in (in_flight or {}).items()}
     return PeerUpdate(host, incarnation, number, tags, notes, counts or {})
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -16,7 +16,7 @@
     HUB_SILENT_FOR,
     READERS,
 )
-from plumsaddle_core.ops.news import HealthSignal, tag_of
+from plumsaddle_core.ops.news import HealthSignal, target_tag
 from plumsaddle_core.ops.suspects import RunRecord
 from plumsaddle_core.ops.zone import SharedState
 
@@ -574,7 +574,7 @@
     messages stand first in each bundle.
     """
     peers, shared, _ = net.add("x0", "x")
-    work = Work("x1", "10.0.0.9:7000", 1, 1, {tag_of("t"): 1}, [], {})
+    work = Work("x1", "10.0.0.9:7000", 1, 1, {target_tag("t"): 1}, [], {})
     raws = [msgspec.Raw(encode(["w", "strange"])), msgspec.Raw(encode(work))]
     peers.datagram_received(encode(Bundle(works=raws)), ("10.0.0.8", 7000))
     assert shared.in_flight("t") == 1
