--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours.py
@@ -101,7 +101,7 @@
         known = self._known.items()
         return [a for a, host in known if now - host.heard_at < LIVENESS_TIMEOUT]
 
-    def note_heard(self, address, now):
+    def note_message(self, address, now):
         """Record a message of another host, received directly or through a hub."""
         known = self._known.get(address)
         if known is None:
--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
@@ -27,7 +27,7 @@
     for own, table in tables.items():
         for name in heard:
             if name != own:
-                table.note_heard(name, at)
+                table.note_message(name, at)
                 table.update(name, (links or {}).get(name, 0.0), StoreStatus.TOLD)
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -314,7 +314,7 @@
         net.call_later,
     )
     again.connection_made(_Transport(net, address))
-    again._peer_table.note_heard(hosts[1][2], net.at)
+    again._peer_table.note_message(hosts[1][2], net.at)
     fresh.note_send_start("t", net.at)
     again.send_update_soon(is_urgent=False)
     net.deliver()
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -135,7 +135,7 @@
         # on what its clients said seconds ago.
         if not self._shared.apply_update(news_of(work), at):
             return False
-        self._peer_table.note_heard(work.address, at)
+        self._peer_table.note_message(work.address, at)
         self._take_runs(work.runs, True, at)
         self._take_limits(work.limits, work.host, True, at)
         self._shared.quotas.merge_local(work.host, work.life, work.quotas, at)
@@ -158,7 +158,7 @@
 
     def _take_bundle(self, bundle, address, at):
         """Take what a hub tells, and pass it on to hosts that tell this one."""
-        self._peer_table.note_heard(address, at)
+        self._peer_table.note_message(address, at)
         self._peer_table.note_hub_heard(address, at)
         self._shared.quotas.note_any_message(at)
         works = [
