--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours.py
@@ -132,7 +132,7 @@
         """The current hub, or None if that is this host."""
         return self._hub
 
-    def note_hub_heard(self, address, now):
+    def note_hub_message(self, address, now):
         """Record a message that a host sent as a hub."""
         if address == self._hub:
             self._hub_heard_at = now
--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
@@ -100,12 +100,12 @@
     for step in range(40):
         at = left_at + step * 0.1
         _hear({own: table}, NAMES, at)
-        table.note_hub_heard(second, at)
+        table.note_hub_message(second, at)
         table.note_echo(at, at)
         assert not table.pick_hub(at)
     at = left_at + HUB_RETRY_DELAY
     _hear({own: table}, NAMES, at)
-    table.note_hub_heard(second, at)
+    table.note_hub_message(second, at)
     table.note_echo(at, at)
     assert table.pick_hub(at)
     assert table.hub == hub
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -159,7 +159,7 @@
     def _take_bundle(self, bundle, address, at):
         """Take what a hub tells, and pass it on to hosts that tell this one."""
         self._peer_table.note_message(address, at)
-        self._peer_table.note_hub_heard(address, at)
+        self._peer_table.note_hub_message(address, at)
         self._shared.quotas.note_any_message(at)
         works = [
             raw
