--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours.py
@@ -204,7 +204,7 @@
         ]
         return len(preceding) < READERS
 
-    def is_first_asker(self, now):
+    def is_store_prober(self, now):
         """Return whether this host should poll an unavailable store."""
         return len(self._preceding_readers(now)) < STORE_PROBERS
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
@@ -38,7 +38,7 @@
     assert {table.hub or name for name, table in tables.items()} == {NAMES[7]}
     readers = [n for n, t in tables.items() if t.is_reader(StoreStatus.TOLD, 0.1)]
     assert len(readers) == READERS
-    askers = [n for n, t in tables.items() if t.is_first_asker(0.1)]
+    askers = [n for n, t in tables.items() if t.is_store_prober(0.1)]
     assert len(askers) == STORE_PROBERS
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
@@ -348,7 +348,9 @@
                     spread = self._rng.uniform(1 - PAUSE_SPREAD, 1 + PAUSE_SPREAD)
                     await asyncio.sleep(pause * spread)
                     most = (
-                        PAUSE_MOST if self.store_access.is_first_asker else PAUSE_OTHERS
+                        PAUSE_MOST
+                        if self.store_access.is_store_prober
+                        else PAUSE_OTHERS
                     )
                     pause = min(most, max(PAUSE_FIRST, pause * 2))
                 if self._is_told(now()):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/gate.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/gate.py
@@ -46,7 +46,7 @@
         # Whether this host follows the store for the others.
         self.is_reader = False
         # Whether it is among the first that ask a store that is away for all.
-        self.is_first_asker = True
+        self.is_store_prober = True
 
     def status(self, at):
         """Return the host's `StoreStatus` by now."""
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
@@ -46,7 +46,7 @@
         """
         contact = self._gate.status(at)
         is_reader = may_read and self._peer_table.is_reader(contact, at)
-        self._gate.is_first_asker = self._peer_table.is_first_asker(at)
+        self._gate.is_store_prober = self._peer_table.is_store_prober(at)
         if self._gate.set_reader(is_reader):
             log.info("reader", extra={"is_reader": is_reader, "contact": contact.name})
             for feed in self._feeds.values():
