--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours.py
@@ -30,7 +30,7 @@
 READER_TIMEOUT = 1.3
 # The hub is replaced if it sent nothing for this long (seconds). It sends at least
 # every 0.2 s.
-HUB_SILENT_FOR = 0.5
+HUB_TIMEOUT = 0.5
 # The hub is replaced if an update takes longer than this (seconds) to come back in a
 # bundle, since all that it sends is then out of date.
 MAX_HUB_DELAY = 1.0
@@ -177,7 +177,7 @@
             self._avoid_hub(now)
 
     def _avoid_silent_hub(self, now):
-        is_silent = now - self._hub_heard_at > HUB_SILENT_FOR
+        is_silent = now - self._hub_heard_at > HUB_TIMEOUT
         is_unechoed = now - self._echoed_at > ECHO_TIMEOUT
         if is_silent or is_unechoed:
             self._avoid_hub(now)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
@@ -4,7 +4,7 @@
 
 from .neighbours import (
     HUB_RETRY_DELAY,
-    HUB_SILENT_FOR,
+    HUB_TIMEOUT,
     READER_TIMEOUT,
     READERS,
     STORE_PROBERS,
@@ -92,7 +92,7 @@
     table.pick_hub(0.0)
     hub = table.hub
     assert hub is not None
-    left_at = HUB_SILENT_FOR + 0.01
+    left_at = HUB_TIMEOUT + 0.01
     _hear({own: table}, NAMES, left_at)
     assert table.pick_hub(left_at)
     assert table.hub != hub
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -13,7 +13,7 @@
 from plumsaddle_core.ops.neighbours import (
     ECHO_TIMEOUT,
     HUB_RETRY_DELAY,
-    HUB_SILENT_FOR,
+    HUB_TIMEOUT,
     READERS,
 )
 from plumsaddle_core.ops.news import HealthSignal, target_tag
@@ -57,7 +57,7 @@
         settings_ = HostSettings(
             name, centre, CENTRES, "", "", address, seeds, "", Bounds(), link
         )
-        shared = SharedState(0.2, 10.0, started=-100.0)
+        shared = SharedState(0.2, 10.0, started_at=-100.0)
         gate = StoreAccess(_ignore, _ignore, _ignore)
         peers = PeerProtocol(settings_, shared, gate, [], self._rng, self.call_later)
         peers.connection_made(_Transport(self, address))
@@ -382,7 +382,7 @@
     left[0][0].send_update_soon(is_urgent=False)
     net.deliver()
     net.cut.add(hub)
-    net.play(REMOTE_LOAD_TTL + HUB_SILENT_FOR)
+    net.play(REMOTE_LOAD_TTL + HUB_TIMEOUT)
     assert all(shared.in_flight("t") == 1 for _, shared, _ in hosts[3:])
     assert all(shared.knows_remote_load("x", net.at) for _, shared, _ in hosts[3:])
 
@@ -413,7 +413,7 @@
     hosts = _fleet(net, 4)
     hub = _hub(net, hosts[:4])
     net.cut.add(hub)
-    net.play(HUB_SILENT_FOR + 2 * HUB_SEND_INTERVAL)
+    net.play(HUB_TIMEOUT + 2 * HUB_SEND_INTERVAL)
     left = [host for host in hosts[:4] if host[2] != hub]
     assert _hub(net, left) != hub
     peers, shared, _ = left[-1]
@@ -494,7 +494,7 @@
     hub = _hub(net, hosts[:4])
     apart = next(host for host in hosts[:4] if host[2] != hub)
     net.broken |= {(hub, apart[2]), (apart[2], hub)}
-    net.play(HUB_SILENT_FOR + 2 * HUB_SEND_INTERVAL)
+    net.play(HUB_TIMEOUT + 2 * HUB_SEND_INTERVAL)
     for number, (peers, shared, _) in enumerate(hosts[:4]):
         shared.note_send_start(f"t{number}", net.at)
         peers.send_update_soon(is_urgent=False)
