--- a/packages/plumsaddle-core/plumsaddle_core/ops/share.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/share.py
@@ -18,7 +18,7 @@
 SAFETY_FACTOR = 0.8
 
 
-class CentreRetryBudget:
+class DataCentreRetryBudget:
     """
     The requests and retries of one service in a data centre in a sliding window.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ..core.traffic import RequestKind, Route, Share, Workspace
-from .share import CentreRetryBudget
+from .share import DataCentreRetryBudget
 from .urgency import (
     RequestPriority,
     max_wait_share,
@@ -59,7 +59,7 @@
 
 def test_less_urgent_retries_leave_some_to_urgent_requests():
     """Otherwise urgent requests would fail for lack of retries."""
-    budget = CentreRetryBudget(0.2, 10.0)
+    budget = DataCentreRetryBudget(0.2, 10.0)
     budget.note_requests(1000, 0.0)
     less_urgent = 0
     while budget.may_retry(0.0, 1.0, usable_retry_share(0.0)):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -41,7 +41,7 @@
     OutcomeRecord,
     target_tag,
 )
-from .share import CentreRetryBudget
+from .share import DataCentreRetryBudget
 from .suspects import SuspectRequests
 from .times import RouteTimes
 
@@ -207,7 +207,7 @@
     def _retry_budget(self, service):
         budget = self._retry_budgets.get(service)
         if budget is None:
-            budget = self._retry_budgets[service] = CentreRetryBudget(
+            budget = self._retry_budgets[service] = DataCentreRetryBudget(
                 self._retry_ratio, self._retry_window
             )
         return budget
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
@@ -7,7 +7,7 @@
 from ..core.traffic import RequestKind, Target, TargetState
 from .choice import Candidate, RequestProfile, choose_target
 from .news import Counts, HealthSignal, OutcomeRecord, PeerUpdate, target_tag
-from .share import SAFETY_FACTOR, CentreRetryBudget
+from .share import SAFETY_FACTOR, DataCentreRetryBudget
 from .times import DEFAULT_DURATION
 from .zone import PEER_TIMEOUT, SharedState
 
@@ -186,7 +186,7 @@
 
 
 def test_a_share_forgets_what_is_older_than_its_window():
-    share = CentreRetryBudget(0.5, 10.0)
+    share = DataCentreRetryBudget(0.5, 10.0)
     share.note_requests(10, 0.0)
     assert share.may_retry(0.0, 1.0)
     assert not share.may_retry(0.0, 10.5)
