--- a/packages/plumsaddle-core/plumsaddle_core/ops/news.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/news.py
@@ -22,14 +22,14 @@
     """
     What the outcome of one send says about its target.
 
-    A send reported as STUCK may still succeed. It is then reported as LATE, which
+    A send reported as OVERDUE may still succeed. It is then reported as LATE, which
     updates the route's durations but doesn't take back the first report.
     """
 
     SUCCEEDED = 0
     FAILED = 1
     UNREACHABLE = 2
-    STUCK = 3
+    OVERDUE = 3
     LATE = 4
     SHED = 5
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -61,7 +61,7 @@
 # which exceeds the longest delay of a message.
 REMOTE_HOST_TTL = 60.0
 # Signals without any response from the target: the network path may be the cause.
-NO_RESPONSE_SIGNALS = {HealthSignal.UNREACHABLE, HealthSignal.STUCK}
+NO_RESPONSE_SIGNALS = {HealthSignal.UNREACHABLE, HealthSignal.OVERDUE}
 # A path that is broken with at least this probability is not used for trials.
 BROKEN_PATH_THRESHOLD = 0.2
 # Outcomes that change the probability that the target is failing by at least this much
@@ -486,7 +486,7 @@
         if outcome.signal is HealthSignal.LATE:
             self.times.note_late(outcome.service, outcome.route, outcome.seconds)
             return 1.0
-        if outcome.signal is HealthSignal.STUCK:
+        if outcome.signal is HealthSignal.OVERDUE:
             return rare_outcome_likelihood_ratio(
                 self.times.note_stuck(outcome.service, outcome.route)
             )
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
@@ -74,14 +74,16 @@
     """
     shared = _shared()
     for number in range(40):
-        shared.note_outcome(f"t{number}", "look", "long", HealthSignal.STUCK, 0.0, 1.0)
+        shared.note_outcome(
+            f"t{number}", "look", "long", HealthSignal.OVERDUE, 0.0, 1.0
+        )
         shared.note_outcome(
             f"u{number}", "look", "short", HealthSignal.SUCCEEDED, 0.3, 1.0
         )
     before = shared.failure_probability("sound", 1.0)
-    shared.note_outcome("sound", "look", "long", HealthSignal.STUCK, 0.0, 1.0)
+    shared.note_outcome("sound", "look", "long", HealthSignal.OVERDUE, 0.0, 1.0)
     assert shared.failure_probability("sound", 1.0) < before + 0.05
-    shared.note_outcome("hangs", "look", "short", HealthSignal.STUCK, 0.0, 1.0)
+    shared.note_outcome("hangs", "look", "short", HealthSignal.OVERDUE, 0.0, 1.0)
     assert shared.failure_probability("hangs", 1.0) > 0.5
 
 
@@ -118,7 +120,7 @@
     for number in range(10):
         shared.note_outcome("t", "look", "r", HealthSignal.SUCCEEDED, 0.003, number)
     for number in range(20):
-        shared.note_outcome("t", "look", "r", HealthSignal.STUCK, 0.0, 10 + number)
+        shared.note_outcome("t", "look", "r", HealthSignal.OVERDUE, 0.0, 10 + number)
         shared.note_outcome("t", "look", "r", HealthSignal.LATE, 0.4, 10 + number)
     assert shared.times.typical_duration("look", "r") == 0.4
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -57,7 +57,7 @@
     SendOutcome.UNREACHABLE: HealthSignal.UNREACHABLE,
     # Another target has the address, so this one has stopped although it is listed.
     SendOutcome.WRONG_TARGET: HealthSignal.UNREACHABLE,
-    SendOutcome.TIMED_OUT: HealthSignal.STUCK,
+    SendOutcome.TIMED_OUT: HealthSignal.OVERDUE,
     SendOutcome.FAILED: HealthSignal.FAILED,
     SendOutcome.NOT_RUN: HealthSignal.SHED,
     SendOutcome.BROKEN: HealthSignal.FAILED,
