--- a/packages/plumsaddle-core/plumsaddle_core/ops/registry.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/registry.py
@@ -85,7 +85,7 @@
         self._lapsing.pop(target_id, None)
         self._remove(self.targets[target_id])
 
-    def lives(self):
+    def incarnations(self):
         """Return the incarnations of all listed targets."""
         return {target.incarnation for target in self.targets.values()}
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -208,7 +208,7 @@
         self.registry.drop(removed, at)
         for target_id in removed:
             log.info("unlisted", extra={"target": target_id})
-        incarnations = self.registry.lives()
+        incarnations = self.registry.incarnations()
         self.shared.evict_targets(incarnations, at)
         self.limits.evict(incarnations)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -228,7 +228,7 @@
         while True:
             at = now()
             self.knowledge.expire(at)
-            self.links.close_expired(self.knowledge.registry.lives())
+            self.links.close_expired(self.knowledge.registry.incarnations())
             self.endings.tick(at)
             self.stored.forget_old(at)
             self.stored.write_soon()
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_rate_limit_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_rate_limit_test.py
@@ -213,7 +213,7 @@
         await trial.ask("/look/a", "one")
         trial.set_mode("look", Mode.SHED)
         shared = trial.hosts[0].knowledge.shared
-        (life,) = trial.hosts[0].knowledge.registry.lives()
+        (life,) = trial.hosts[0].knowledge.registry.incarnations()
         before = shared.failure_probability(life, asyncio.get_running_loop().time())
         for number in range(5):
             await trial.ask("/look/a", f"rejected-{number}")
