--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours.py
@@ -96,7 +96,7 @@
         """Return the addresses of all known hosts."""
         return list(self._known)
 
-    def live(self, now):
+    def live_addresses(self, now):
         """Return the addresses of the live hosts."""
         known = self._known.items()
         return [a for a, host in known if now - host.heard_at < LIVENESS_TIMEOUT]
@@ -150,7 +150,7 @@
             self._avoid_silent_hub(now)
         links = {
             address: self._known[address].link
-            for address in self.live(now)
+            for address in self.live_addresses(now)
             if self._known[address].avoided_until <= now
         }
         links[self._address] = self._link
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -189,7 +189,7 @@
         if self._picked_itself():
             # Only hosts heard lately are named, else two hosts would keep naming a dead
             # one to each other for ever.
-            live = self._peer_table.live(at)
+            live = self._peer_table.live_addresses(at)
             members = self._rng.sample(live, min(NAMED_IN_BEAT, len(live)))
             strangers = self._others.strangers.some(at)
         return Beat(
