--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -120,7 +120,7 @@
     """
     A tenant, identified by the API keys of its requests.
 
-    `keys` are digests as returned by `digest_of`. All hosts together admit `rate`
+    `keys` are digests as returned by `key_digest`. All hosts together admit `rate`
     requests per second and a `burst` on top; a rate of 0.0 means no limit. `priority`
     takes precedence over that of a request's route.
     """
--- a/packages/plumsaddle-core/plumsaddle_core/ops/workspaces.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/workspaces.py
@@ -17,7 +17,7 @@
 SCHEME = b"bearer"
 
 
-def digest_of(key):
+def key_digest(key):
     """Return the `KeyDigest` of a key's bytes."""
     return KeyDigest(hashlib.blake2b(key, digest_size=DIGEST_BYTES).digest())
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/workspaces_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/workspaces_test.py
@@ -5,9 +5,9 @@
 import pytest
 
 from ..core.traffic import Workspace
-from .workspaces import digest_of, index_keys, read_key, short_digest
+from .workspaces import index_keys, key_digest, read_key, short_digest
 
-A, B, C = (digest_of(name) for name in (b"a", b"b", b"c"))
+A, B, C = (key_digest(name) for name in (b"a", b"b", b"c"))
 
 
 def test_each_key_leads_to_its_workspace():
@@ -52,5 +52,5 @@
 
 
 def test_a_shown_key_tells_nothing_of_it():
-    assert short_digest(digest_of(b"secret")) == digest_of(b"secret").hex()[:8]
+    assert short_digest(key_digest(b"secret")) == key_digest(b"secret").hex()[:8]
     assert len(short_digest(A)) == 8
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
@@ -14,7 +14,7 @@
 from plumsaddle_core.core.traffic import Reply
 from plumsaddle_core.ops.fingerprint import MAX_HASHED_BODY
 from plumsaddle_core.ops.route_table import choose_service, find_route
-from plumsaddle_core.ops.workspaces import digest_of, read_key, short_digest
+from plumsaddle_core.ops.workspaces import key_digest, read_key, short_digest
 
 from ..front.headers import HOP_BY_HOP
 from ..platform import wire
@@ -174,7 +174,7 @@
         if not self._knowledge.cfg.workspaces:
             return None, None
         key = read_key(request.raw_headers)
-        digest = None if key is None else digest_of(key)
+        digest = None if key is None else key_digest(key)
         workspace = self._knowledge.workspaces_by_key.get(digest)
         if workspace is not None or route.is_public:
             return workspace, None
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/wire.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/wire.py
@@ -20,7 +20,7 @@
     TargetState,
     Workspace,
 )
-from plumsaddle_core.ops.workspaces import digest_of
+from plumsaddle_core.ops.workspaces import key_digest
 
 from ..utils.addresses import is_address
 
@@ -243,7 +243,7 @@
         raise ValueError("a limit of a workspace is below zero")
     return Workspace(
         name,
-        tuple(digest_of(key.encode()) for key in spec.get("api_keys", ())),
+        tuple(key_digest(key.encode()) for key in spec.get("api_keys", ())),
         rate,
         burst,
         int(spec.get("priority") or 0),
--- a/packages/plumsaddle-standins/plumsaddle_standins/workspace_slopes.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/workspace_slopes.py
@@ -7,7 +7,7 @@
 
 from plumsaddle_core.core.traffic import Workspace
 from plumsaddle_core.limits.quotas import Quotas
-from plumsaddle_core.ops.workspaces import digest_of, index_keys, read_key
+from plumsaddle_core.ops.workspaces import index_keys, key_digest, read_key
 from plumsaddle_hosts.platform.wire import decode_configuration
 
 from .trial import configuration
@@ -28,7 +28,7 @@
     return [
         Workspace(
             f"w{number}",
-            tuple(digest_of(_key(number, n).encode()) for n in range(KEYS)),
+            tuple(key_digest(_key(number, n).encode()) for n in range(KEYS)),
             RATE,
             RATE,
         )
@@ -63,7 +63,7 @@
     spent = time.process_time()
     for turn, pairs in enumerate(headers):
         now = turn / 92.0
-        quotas.acquire(index[digest_of(read_key(pairs))], now)
+        quotas.acquire(index[key_digest(read_key(pairs))], now)
         if turn % 9 == 0:
             rows += len(quotas.local_rows(now))
         if turn % 92 == 0:
