--- a/packages/plumsaddle-core/plumsaddle_core/limits/membership.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/membership.py
@@ -65,7 +65,7 @@
         self._last_message_at = -math.inf
         self._last_delivered_at = -math.inf
 
-    def note_host(self, host, now):
+    def note_message(self, host, now):
         """Note a message of another host."""
         if now - self._last_message_at > MEMBER_TIMEOUT:
             self._joined_at = now
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -251,7 +251,7 @@
             return False
         peer.number = update.number
         peer.heard_at = now
-        self.limits.membership.note_host(update.host, now)
+        self.limits.membership.note_message(update.host, now)
         self._replace_in_flight(peer, update.in_flight, now)
         self._max_host_count = max(self._max_host_count, self.live_host_count())
         if update.counts:
--- a/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/limit_model.py
@@ -304,7 +304,7 @@
         if not host.is_up or host.number in self._cut:
             return
         roster = host.limits.membership
-        roster.note_host(name, self.at)
+        roster.note_message(name, self.at)
         if counts:
             roster.note_demand(name, "s", counts, self.at)
         for row in rows:
