--- a/packages/plumsaddle-core/plumsaddle_core/limits/liveness.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/liveness.py
@@ -96,11 +96,11 @@
 
     # Receiving.
 
-    def note_host(self, host, incarnation, now):
+    def note_host_message(self, host, incarnation, now):
         """Note a message of a host of this data centre, and return its `Source`."""
         return self._note_message(self._local, host, incarnation, HostCount(1), now)
 
-    def note_data_centre(self, data_centre, hosts, now):
+    def note_data_centre_report(self, data_centre, hosts, now):
         """Note a report for another data centre, and return its `Source`."""
         source = self._remote.get(data_centre)
         previous = source.hosts.unreachable if source is not None else 0
--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -287,7 +287,7 @@
           rows: The `QuotaRow`s.
           now: The present, in seconds.
         """
-        source = self._liveness.note_host(host, incarnation, now)
+        source = self._liveness.note_host_message(host, incarnation, now)
         for row in rows:
             state = self._get_state(row[0], now)
             if state is not None:
@@ -304,7 +304,7 @@
           rows: The `QuotaRow`s.
           now: The present, in seconds.
         """
-        source = self._liveness.note_data_centre(data_centre, hosts, now)
+        source = self._liveness.note_data_centre_report(data_centre, hosts, now)
         for row in rows:
             state = self._get_state(row[0], now)
             if state is not None:
