--- a/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
@@ -90,7 +90,7 @@
         self._count = 0.0
         self._updated_at = 0.0
 
-    def note(self, now):
+    def note_event(self, now):
         """Record one event, and return the rate per second."""
         self._count = (
             self._count * math.exp((self._updated_at - now) / RATE_TIME_CONSTANT) + 1.0
--- a/packages/plumsaddle-core/plumsaddle_core/ops/subset_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/subset_test.py
@@ -69,6 +69,6 @@
 def test_the_event_rate_follows_the_events():
     rate = EventRate()
     for step in range(200):
-        known = rate.note(step * 0.25)
+        known = rate.note_event(step * 0.25)
     assert known == pytest.approx(4.0, rel=0.1)
-    assert rate.note(1000.0) < 0.3
+    assert rate.note_event(1000.0) < 0.3
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -311,7 +311,7 @@
             trial_targets = [target for target in usable if target.incarnation == trial]
             choice = self._choose_among(trial_targets, profile, has_connection, at)
             return choice._replace(rule=ChoiceRule.FLOOR_TRIAL)
-        rate = self._rates.setdefault(service, EventRate()).note(at)
+        rate = self._rates.setdefault(service, EventRate()).note_event(at)
         subset = self._subset(service, usable, rate)
         preferred = [target for target in subset if target.id not in excluded]
         choice = self._choose_among(preferred, profile, has_connection, at)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
@@ -73,7 +73,7 @@
 class _SteadyRate:
     """A constant rate of ten sends per second."""
 
-    def note(self, at):
+    def note_event(self, at):
         return 10.0
 
 
