--- a/packages/plumsaddle-core/plumsaddle_core/ops/latency.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/latency.py
@@ -26,7 +26,7 @@
         self._samples_since_update = 0
         self._median = None
 
-    def note(self, seconds):
+    def note_latency(self, seconds):
         """Record the latency of one complete answer."""
         self._recent.append(seconds)
         self._samples_since_update += 1
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
@@ -82,7 +82,7 @@
         seconds = now - ended.started
         latency = self.latencies[ended.kind]
         if trouble is None and ended.kind is not RequestKind.UPLOAD:
-            latency.note(seconds)
+            latency.note_latency(seconds)
         sign = sign_of_end(ended.kind, trouble, seconds, latency)
         if sign is not None and sign is not ended.sign:
             self._note(ended, sign, now)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/probes_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/probes_test.py
@@ -28,8 +28,8 @@
     """
     state = make_state()
     for _ in range(20):
-        state.latencies[RequestKind.ORDER].note(0.02)
-        state.latencies[RequestKind.IDEMPOTENT].note(0.2)
+        state.latencies[RequestKind.ORDER].note_latency(0.02)
+        state.latencies[RequestKind.IDEMPOTENT].note_latency(0.2)
     kind = reference_kind(state)
     assert sign_of_end(kind, None, 0.2, state.latencies[kind]) is HealthSignal.SLOW
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -75,7 +75,7 @@
         )
         seconds = now - ended.started
         if trouble is None:
-            self.latency.note(seconds)
+            self.latency.note_latency(seconds)
         sign = sign_of_end(KIND, trouble, seconds, self.latency)
         if sign is not None and sign is not ended.sign:
             self._note(ended, sign, now)
