--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency.py
@@ -74,11 +74,11 @@
     return 1.0 - priorities.index(priority) / (len(priorities) - 1)
 
 
-def usable_retry_share(urgency):
+def usable_retry_fraction(urgency):
     """Return the share of the retries that a request of an urgency may use up."""
     return MIN_RETRY_SHARE + (1.0 - MIN_RETRY_SHARE) * urgency
 
 
-def max_wait_share(urgency):
+def max_wait_fraction(urgency):
     """Return the share of its remaining time that a request may spend at a target."""
     return MIN_WAIT_SHARE + (1.0 - MIN_WAIT_SHARE) * urgency
--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
@@ -8,11 +8,11 @@
 from .share import DataCentreRetryBudget
 from .urgency import (
     RequestPriority,
-    max_wait_share,
+    max_wait_fraction,
     priorities_by_service,
     relative_urgency,
     request_priority,
-    usable_retry_share,
+    usable_retry_fraction,
 )
 
 
@@ -62,15 +62,17 @@
     budget = DataCentreRetryBudget(0.2, 10.0)
     budget.note_requests(1000, 0.0)
     less_urgent = 0
-    while budget.may_retry(0.0, 1.0, usable_retry_share(0.0)):
+    while budget.may_retry(0.0, 1.0, usable_retry_fraction(0.0)):
         budget.note_retries(1, 1.0)
         less_urgent += 1
     urgent = 0
-    while budget.may_retry(0.0, 1.0, usable_retry_share(1.0)):
+    while budget.may_retry(0.0, 1.0, usable_retry_fraction(1.0)):
         budget.note_retries(1, 1.0)
         urgent += 1
     assert urgent >= 0.25 * (less_urgent + urgent)
 
 
 def test_less_urgent_requests_are_refused_sooner():
-    assert max_wait_share(0.0) < max_wait_share(0.5) < max_wait_share(1.0) == 1.0
+    assert (
+        max_wait_fraction(0.0) < max_wait_fraction(0.5) < max_wait_fraction(1.0) == 1.0
+    )
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -38,7 +38,7 @@
     priorities_by_service,
     relative_urgency,
     request_priority,
-    usable_retry_share,
+    usable_retry_fraction,
 )
 from plumsaddle_core.ops.workspaces import index_keys, short_digest
 from plumsaddle_core.ops.zone import SharedState
@@ -413,7 +413,9 @@
         """
         data_centre_count = max(1, len(self.settings.data_centres))
         extra = self.settings.bounds.retry_extra / data_centre_count
-        return self.shared.may_retry(service, extra, now(), usable_retry_share(urgency))
+        return self.shared.may_retry(
+            service, extra, now(), usable_retry_fraction(urgency)
+        )
 
     # Called by the relay to report sends.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -17,7 +17,7 @@
 from plumsaddle_core.core.traffic import Reply, SendOutcome
 from plumsaddle_core.limits.targets import max_token_wait
 from plumsaddle_core.ops.attempt import NOT_SENT, Attempt
-from plumsaddle_core.ops.urgency import max_wait_share
+from plumsaddle_core.ops.urgency import max_wait_fraction
 
 from .clock import now
 from .refusals import Refusal, RefusalCause
@@ -518,8 +518,9 @@
     """
     candidate = choice.candidate
     is_full = candidate.in_flight >= candidate.target.slots
-    return is_full and choice.expected_duration >= profile.time_left * max_wait_share(
-        urgency
+    return (
+        is_full
+        and choice.expected_duration >= profile.time_left * max_wait_fraction(urgency)
     )
 
 
