--- a/packages/plumsaddle-core/plumsaddle_core/limits/membership.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/membership.py
@@ -51,13 +51,13 @@
 
     Args:
       own: The host's own id.
-      started: When it started, in seconds.
+      started_at: When it started, in seconds.
       has_seeds: Whether its settings name other hosts.
     """
 
-    def __init__(self, own, started, has_seeds=True):
+    def __init__(self, own, started_at, has_seeds=True):
         self.own = own
-        self._started_at = started
+        self._started_at = started_at
         self._has_seeds = has_seeds
         self._members = {}
         self._own_demand = {}
--- a/packages/plumsaddle-core/plumsaddle_core/ops/floor_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/floor_test.py
@@ -47,7 +47,7 @@
 
 def test_trials_are_limited_to_a_share_of_the_requests():
     """With few requests per target, unlimited trials would be much of the load."""
-    shared = SharedState(0.2, 10.0, started=-100.0)
+    shared = SharedState(0.2, 10.0, started_at=-100.0)
     trials = Trials()
     found = [trials.find("s", _two_targets, shared, 0.7, 0.0) for _ in range(160)]
     tried = sum(1 for trial in found if trial is not None)
@@ -55,7 +55,7 @@
 
 
 def test_trials_are_unlimited_while_a_service_is_degraded():
-    shared = SharedState(0.2, 10.0, started=-100.0)
+    shared = SharedState(0.2, 10.0, started_at=-100.0)
     for _ in range(20):
         shared.note_request_end("s", False, 0.0)
     trials = Trials()
--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -34,7 +34,7 @@
     """
     Guards against counting failures and requests of a target's previous incarnation.
     """
-    shared = SharedState(0.2, 10.0, started=-100.0)
+    shared = SharedState(0.2, 10.0, started_at=-100.0)
     former, present = _target(1000), _target(2000)
     shared.note_send_start(former.incarnation, 1.0)
     shared.apply_update(_update(1, {former.incarnation: 2}), 1.0)
@@ -49,7 +49,7 @@
     """
     Guards against late updates about a target's previous incarnation.
     """
-    shared = SharedState(0.2, 10.0, started=-100.0)
+    shared = SharedState(0.2, 10.0, started_at=-100.0)
     former, present = _target(1000), _target(2000)
     shared.evict_targets({present.incarnation}, 10.0)
     before = shared.failure_probability(present.incarnation, 2.0)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -93,7 +93,7 @@
     Args:
       ratio: Retries allowed per request.
       window: The length of the retry budget's sliding window, in seconds.
-      started: When the host started, in seconds.
+      started_at: When the host started, in seconds.
       has_paths: Whether sends without a response are attributed to this host's own
         network path first.
       quotas: The `Quotas`, or None for no quotas.
@@ -101,7 +101,7 @@
     """
 
     def __init__(
-        self, ratio, window, started, has_paths=True, quotas=None, limits=None
+        self, ratio, window, started_at, has_paths=True, quotas=None, limits=None
     ):
         self.target_estimators = {}
         self.path_estimators = {}
@@ -109,10 +109,12 @@
         self.times = RouteTimes()
         self.suspects = SuspectRequests()
         self.quotas = Quotas() if quotas is None else quotas
-        self.limits = limits or TargetLimits(Membership("", started, has_seeds=False))
+        self.limits = limits or TargetLimits(
+            Membership("", started_at, has_seeds=False)
+        )
         self._retry_ratio = ratio
         self._retry_window = window
-        self._started = started
+        self._started_at = started_at
         self._retry_budgets = {}
         self._results = {}
         self._used_at = {}
@@ -200,7 +202,7 @@
           urgent_part: The part of the budget that the request may use up.
         """
         part = self.live_host_count() / self._max_host_count
-        if now - self._started < self._retry_window:
+        if now - self._started_at < self._retry_window:
             part = 0.0
         return self._retry_budget(service).may_retry(extra * part, now, urgent_part)
 
@@ -334,7 +336,7 @@
         lost hosts count by themselves. So does the time after this host's start, when
         no results are known.
         """
-        if now - self._started < STARTUP_GRACE or self._has_lost_hosts(now):
+        if now - self._started_at < STARTUP_GRACE or self._has_lost_hosts(now):
             return True
         results = self._results.get(service)
         return results is not None and results.is_degraded(now)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
@@ -13,7 +13,7 @@
 
 
 def _shared():
-    return SharedState(0.2, 10.0, started=-100.0)
+    return SharedState(0.2, 10.0, started_at=-100.0)
 
 
 def _update(
@@ -170,7 +170,7 @@
     """
     Guards against spending the retry budget twice when all hosts restart at once.
     """
-    shared = SharedState(0.2, 10.0, started=50.0)
+    shared = SharedState(0.2, 10.0, started_at=50.0)
     assert not shared.may_retry("look", 50.0, 51.0)
     for _ in range(20):
         shared.note_request("look", 52.0)
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -133,7 +133,7 @@
         self._load_number = 0
         self.rng = random.Random(seed)
         self.shared_states = [
-            SharedState(0.2, 10.0, started=-100.0) for _ in shape.targets
+            SharedState(0.2, 10.0, started_at=-100.0) for _ in shape.targets
         ]
         self.workers = {}
         spells = random.Random(seed + 1)
--- a/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
@@ -111,7 +111,7 @@
             Bounds(),
             link,
         )
-        shared = SharedState(0.2, 10.0, started=0.0)
+        shared = SharedState(0.2, 10.0, started_at=0.0)
         gate = StoreAccess(_ignore, _ignore, _ignore)
         peers = PeerProtocol(settings, shared, gate, [], self._rng, self._call_later)
         if not has_hub:
