--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
@@ -104,7 +104,7 @@
         self._rng = rng
         self._pace = pace or Pace(MIN_READ_WAIT, MAX_READ_WAIT, READER_STATUS_TTL)
         self._next = None
-        self._reading = None
+        self._read_task = None
         self._behind_since = None
         self._has_word = False
         self._told_at = -math.inf
@@ -146,11 +146,11 @@
     def wake(self):
         """Look again whether to read; the host has become a reader, or is none now."""
         self._awake.set()
-        if self._reading is not None and self._reads_for_all and self._is_told(now()):
+        if self._read_task is not None and self._reads_for_all and self._is_told(now()):
             # Begun when the host was a reader: the call waits for what others tell it
             # now, and keeps a connection to the store for as long.
             self._is_given_up = True
-            self._reading.cancel()
+            self._read_task.cancel()
 
     # What other hosts say.
 
@@ -177,12 +177,12 @@
         if self._behind_since is None:
             self._behind_since = at
             self.wake()
-        elif self._reading is not None and at - self._behind_since > BEHIND_FOR:
+        elif self._read_task is not None and at - self._behind_since > BEHIND_FOR:
             log.warning(
                 "behind", extra={"topic": self._topic, "at": self._next, "peer": offset}
             )
             self._behind_since = None
-            self._reading.cancel()
+            self._read_task.cancel()
 
     def _take_first_word(self, offset, told_at):
         """Take how far a topic goes that this host has not listed."""
@@ -294,23 +294,23 @@
         """
         self._reads_for_all = self.store_access.is_reader
         self._is_given_up = False
-        self._reading = asyncio.get_running_loop().create_task(
+        self._read_task = asyncio.get_running_loop().create_task(
             self._call(self._draw_wait())
         )
         try:
-            return await asyncio.shield(self._reading)
+            return await asyncio.shield(self._read_task)
         except asyncio.CancelledError:
             # Whether the feed itself is to end, or `note_reader` cut its read short. At
             # the end of a host both are cancelled, so the read alone does not tell: a
             # feed that went on asking kept the process from ending.
             if asyncio.current_task().cancelling():
-                self._reading.cancel()
+                self._read_task.cancel()
                 raise
             if self._is_given_up:
                 return None
             return Failure(StoreError.AWAY)
         finally:
-            self._reading = None
+            self._read_task = None
 
     def _draw_wait(self):
         """Return how long a read waits; what is known to be there is not waited for."""
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
@@ -384,7 +384,7 @@
         made, _ = _feed(store)
         task = asyncio.ensure_future(made.run())
         await asyncio.sleep(0.05)
-        made._reading.cancel()
+        made._read_task.cancel()
         task.cancel()
         done, _ = await asyncio.wait({task}, timeout=0.5)
         return bool(done), task
@@ -412,7 +412,7 @@
         made.store_access.set_reader(False)
         made.note_reader_offset(made.next_offset, 0.0, clock())
         await asyncio.sleep(0.05)
-        assert made._reading is None
+        assert made._read_task is None
         assert len(store.reads) == 1
         # The store was not lost by this.
         assert made.store_access.status(clock()) is StoreStatus.TOLD
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
@@ -126,7 +126,7 @@
             host.store.read = _hang
         await _drain_in_time(trial, trial.hosts)
         await asyncio.sleep(READER_STATUS_TTL)
-        assert all(feed._reading is None for host in told for feed in host._feeds)
+        assert all(feed._read_task is None for host in told for feed in host._feeds)
 
 
 @in_loop
