--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
@@ -1,15 +1,14 @@
 """
 Following a keyed topic of the platform's store.
 
-A feed lists the topic once and then waits for changes with long reads. Changes come
-in bursts, so after a page the feed rests a little and takes the next few in one call;
-calls to the store are dear. While the store does not answer, only one feed of a host
-asks it, and the others wait for that one.
-
-Most hosts do not read at all after the listing. Two readers of each data centre pass
-on what they read, and say each second how far the store says that they are. A host asks
-the store itself when no reader has said so lately, or when it misses something that a
-reader has. With each host reading for itself, 293 hosts made a call a second each.
+A feed lists the topic once and then waits for changes with long polls. After a page
+with changes it pauses briefly, so that the next call returns several changes of a
+burst. While the store is unavailable, one feed of a host retries and the others wait.
+
+Most hosts don't read after the listing. Two readers in each data centre forward the
+changes that they read, and report every second the offset that the store confirmed.
+A host reads from the store itself when it has no recent report from a reader, or when
+it is missing changes that a reader has.
 """
 
 import asyncio
@@ -24,338 +23,366 @@
 from .gate import READER_STATUS_TTL
 
 log = logging.getLogger("store")
-# Seconds that a read waits for news, drawn anew for each read. Readers pass on that it
-# was answered, so this is also how often the other hosts hear that they know all.
+# Bounds, in seconds, of the random time that a read waits for changes. Readers report
+# each answer, so this is also how often other hosts learn that they are up to date.
 MIN_READ_WAIT = 0.8
 MAX_READ_WAIT = 1.0
-# The same of a topic in which hardly anything is ever written and whose news hosts tell
-# each other by datagrams besides. A read that waits is answered at once when there is
-# news, so only a reader's loss is noticed later. It saves nine calls of ten.
-SELDOM_LEAST = 8.0
-SELDOM_MOST = 10.0
-SELDOM_TOLD_FOR = 12.0
-# Seconds for which a host that starts waits to hear from a reader that nothing was ever
-# written to such a topic, before it lists it. It must know three seconds after its
-# start, of which loading our code takes 0.6; readers speak after a second and a half.
-SELDOM_START = 1.9
-# Rest after a page with changes. What a host knows may be 2 s old; the rest, a call on
-# a slow store and a retry must fit.
+# The same for topics that rarely change and whose changes hosts also send to each other
+# in datagrams. Changes end a waiting read at once, so only the loss of a reader is
+# noticed later.
+RARE_MIN_READ_WAIT = 8.0
+RARE_MAX_READ_WAIT = 10.0
+RARE_READER_STATUS_TTL = 12.0
+# Seconds that a starting host waits for a reader to report such a topic as empty,
+# before it lists the topic. Readers report within 1.5 s, and the host must know the
+# topic three seconds after its start, of which imports take 0.6 s.
+RARE_START_WAIT = 1.9
+# Seconds of delay after a page with changes. The delay, a slow call and a retry must
+# fit into the two seconds within which a host must know of a change.
 PAUSE_AFTER_PAGE = 0.8
-# A host's own first listing counts as told for this long, in seconds. By then it has
-# heard of the readers and need not read at all. A host that has started is given three
-# seconds before it must know of each change.
+# Seconds for which a host's own first listing counts as a report from a reader; by then
+# it receives reports. Less than the three seconds that a starting host has to learn of
+# each change.
 FIRST_LISTING_TTL = 2.2
-# Pauses between calls while the store is away, in seconds; each is varied by a part, so
-# that hosts do not ask in step. Hosts that are not readers ask less often, since the
-# first reader that is answered tells them; a change made after the return must be known
-# two seconds later.
-PAUSE_FIRST = 0.2
-PAUSE_MOST = 0.8
-PAUSE_OTHERS = 1.6
-PAUSE_SPREAD = 0.25
-# A waiting read is given up when another host has had the news for this long (seconds):
-# longer than an answer of a slow store, and short against the two seconds within which
-# a change must be known.
-BEHIND_FOR = 0.5
-# A host that is told by readers asks the store itself when it has missed something for
-# this long (seconds): what two readers tell comes in any order.
-MISSED_FOR = 0.15
-
-
-class Pace(NamedTuple):
+# Seconds between calls while the store is unavailable, with jitter so that hosts don't
+# retry in step. Hosts that aren't readers retry less often, since the first reader that
+# is answered informs them. They must know of a change two seconds after the recovery.
+MIN_RETRY_DELAY = 0.2
+MAX_RETRY_DELAY = 0.8
+MAX_FOLLOWER_RETRY_DELAY = 1.6
+RETRY_JITTER = 0.25
+# Seconds for which another host may be ahead before a waiting read is cancelled:
+# longer than a slow answer, and well below the two seconds within which a change must
+# be known.
+MAX_READ_LAG = 0.5
+# Seconds that a host waits for missing changes before it reads them itself, since
+# datagrams of two readers may arrive out of order.
+REORDER_GRACE = 0.15
+
+
+class ReadTiming(NamedTuple):
     """
     How often a topic is read, in seconds.
 
-    A read waits for a time between the first two. A reader's last word that it was
-    answered is trusted for `told_for`. A host that starts lists the topic only when it
-    has not heard for `start` that it is empty.
+    Attributes:
+      min_wait: The shortest time that a read waits for changes.
+      max_wait: The longest time that a read waits for changes.
+      reader_status_ttl: How long a report from a reader is valid.
+      start_wait: How long a starting host waits for a reader to report the topic as
+        empty before it lists the topic.
     """
 
-    wait_least: float
-    wait_most: float
-    told_for: float
-    start: float = 0.0
+    min_wait: float
+    max_wait: float
+    reader_status_ttl: float
+    start_wait: float = 0.0
 
 
-SELDOM = Pace(SELDOM_LEAST, SELDOM_MOST, SELDOM_TOLD_FOR, SELDOM_START)
+RARE_CHANGES = ReadTiming(
+    RARE_MIN_READ_WAIT, RARE_MAX_READ_WAIT, RARE_READER_STATUS_TTL, RARE_START_WAIT
+)
 
 
 class Feed:
     """
-    One topic, followed for ever.
+    Follows one topic deadline cancelled.
 
     Args:
       store: The `Store`.
       topic: The topic's name.
-      gate: A `Gate` that all feeds of the host share.
+      store_access: The `StoreAccess` that all feeds of the host share.
       on_listing: Called with a `Page` that lists all keys.
       on_changes: Called with a `Page` of changes.
       rng: A `random.Random`.
-      pace: The `Pace`; that of a topic whose changes must be known soon if None.
+      timing: The `ReadTiming`; by default that of topics that change often.
     """
 
-    def __init__(self, store, topic, gate, on_listing, on_changes, rng, pace=None):
+    def __init__(
+        self, store, topic, store_access, on_listing, on_changes, rng, timing=None
+    ):
         self._store = store
         self._topic = topic
-        self.store_access = gate
+        self.store_access = store_access
         self._on_listing = on_listing
         self._on_changes = on_changes
         self._on_read = None
         self._rng = rng
-        self._pace = pace or Pace(MIN_READ_WAIT, MAX_READ_WAIT, READER_STATUS_TTL)
-        self._next = None
+        self._timing = timing or ReadTiming(
+            MIN_READ_WAIT, MAX_READ_WAIT, READER_STATUS_TTL
+        )
+        self._next_offset = None
         self._read_task = None
         self._behind_since = None
-        self._has_word = False
-        self._told_at = -math.inf
-        self._awake = asyncio.Event()
-        # Whether the present read was begun as a reader, and has been given up since.
-        self._reads_for_all = False
-        self._is_given_up = False
+        self._has_reader_offset = False
+        self._reported_at = -math.inf
+        self._wakeup = asyncio.Event()
+        # Whether the current read was started as a reader, and whether it was cancelled
+        # because the host is no longer one.
+        self._is_reader_read = False
+        self._is_read_abandoned = False
         self.answered_at = None
-        # When the store last said how far the topic goes, to this host or to a reader.
-        # A new reader's own read may wait long before it is answered; until then it
-        # passes on what it was told, else all hosts would ask for themselves.
+        # When the store last confirmed to this host or to a reader that `next_offset`
+        # is the end of the topic. A new reader reports what it received from others
+        # until its own first read is answered.
         self.confirmed_at = -math.inf
 
     def subscribe(self, on_read):
         """
-        Set what is called with the topic and the `Page` of each answered read of this
-        host's own; the page may be empty.
+        Register a callback for each page that this host reads from the store.
+
+        Args:
+          on_read: Called with the topic and a `Page`, which may be empty.
         """
         self._on_read = on_read
 
     @property
     def topic(self):
-        """The topic's name."""
+        """Return the topic's name."""
         return self._topic
 
     @property
     def next_offset(self):
-        """The offset up to which this host has read, or 0 before the first page."""
-        return self._next or 0
+        """Return the offset of the next read, or 0 before the first page."""
+        return self._next_offset or 0
 
     def age(self, at):
         """
-        Return the seconds since the store said that this host has read all there is.
+        Return the seconds since the store confirmed that this host is up to date.
 
-        It is infinite for a host that knows that it has missed something.
+        The age is infinite while the host is known to be missing changes.
         """
         return math.inf if self._behind_since is not None else at - self.confirmed_at
 
     def wake(self):
-        """Look again whether to read; the host has become a reader, or is none now."""
-        self._awake.set()
-        if self._read_task is not None and self._reads_for_all and self._is_told(now()):
-            # Begun when the host was a reader: the call waits for what others tell it
-            # now, and keeps a connection to the store for as long.
-            self._is_given_up = True
+        """Check again whether to read, after a change of what readers do or report."""
+        self._wakeup.set()
+        if (
+            self._read_task is not None
+            and self._is_reader_read
+            and self._follows_readers(now())
+        ):
+            # The read was started as a reader. Other readers now report its topic, so
+            # it would only keep a connection to the store open.
+            self._is_read_abandoned = True
             self._read_task.cancel()
 
-    # What other hosts say.
+    # Updates from other hosts.
 
     def note_reader_offset(self, offset, age, at):
         """
-        Take how far the store has told a reader that its log goes.
+        Apply the end offset of the topic that the store confirmed to a reader.
 
-        A connection that went silent for good looks like a topic without news. The
-        offsets of the other hosts tell the two apart sooner than keep-alive probes.
+        A dead connection to the store looks like a topic without changes. The offsets
+        of readers reveal it sooner than keep-alive probes.
 
         Args:
           offset: The reader's `next_offset`.
-          age: How many seconds ago the store said so.
-          at: The present, in seconds.
+          age: Seconds since the store confirmed it.
+          at: The current time, in seconds.
         """
-        if self._next is None:
-            self._take_first_word(offset, at - age)
+        if self._next_offset is None:
+            self._apply_first_offset(offset, at - age)
             return
-        if offset <= self._next:
-            self._told_at = max(self._told_at, at - age)
+        if offset <= self._next_offset:
+            self._reported_at = max(self._reported_at, at - age)
             self.confirmed_at = max(self.confirmed_at, at - age)
             self.wake()
             return
         if self._behind_since is None:
             self._behind_since = at
             self.wake()
-        elif self._read_task is not None and at - self._behind_since > BEHIND_FOR:
+        elif self._read_task is not None and at - self._behind_since > MAX_READ_LAG:
             log.warning(
-                "behind", extra={"topic": self._topic, "at": self._next, "peer": offset}
+                "feed is behind a reader",
+                extra={"topic": self._topic, "at": self._next_offset, "peer": offset},
             )
             self._behind_since = None
             self._read_task.cancel()
 
-    def _take_first_word(self, offset, told_at):
-        """Take how far a topic goes that this host has not listed."""
-        if not self._pace.start:
+    def _apply_first_offset(self, offset, reported_at):
+        """Apply the end offset of a topic that this host has not listed yet."""
+        if not self._timing.start_wait:
             return
         if offset == 0:
-            self._next = 0
-            self._told_at = self.confirmed_at = told_at
-        self._has_word = True
+            self._next_offset = 0
+            self._reported_at = self.confirmed_at = reported_at
+        self._has_reader_offset = True
         self.wake()
 
     def apply_page(self, start, records, next_offset, at):
         """
-        Take changes that a reader has read.
+        Apply changes that a reader has read.
 
         Args:
-          start: The offset at which its read began.
+          start: The offset at which its read started.
           records: A list of `KeyedRecord`.
-          next_offset: Where it reads on.
-          at: The present, in seconds.
+          next_offset: The offset of its next read.
+          at: The current time, in seconds.
         """
-        if self._next is None or next_offset <= self._next:
+        if self._next_offset is None or next_offset <= self._next_offset:
             return
-        if start > self._next:
-            # What came before was lost on the way.
+        if start > self._next_offset:
+            # An earlier datagram was lost or is late.
             self._behind_since = self._behind_since or at
             self.wake()
             return
-        self._told_at = self.confirmed_at = at
-        self._take(Page(records, next_offset))
+        self._reported_at = self.confirmed_at = at
+        self._apply(Page(records, next_offset))
         self.wake()
 
-    def _take(self, page):
-        """Take changes, but for those that this host had from somebody else."""
-        fresh = [record for record in page.records if record.offset >= self._next]
-        self._next = max(self._next, page.next_offset)
+    def _apply(self, page):
+        """Apply a page of changes, without those that this host already has."""
+        new_records = [
+            record for record in page.records if record.offset >= self._next_offset
+        ]
+        self._next_offset = max(self._next_offset, page.next_offset)
         self._behind_since = None
-        if fresh:
-            self._on_changes(Page(fresh, self._next))
+        if new_records:
+            self._on_changes(Page(new_records, self._next_offset))
 
-    def _is_told(self, at):
-        """Whether others follow the store for this host."""
-        if self._next is None or self.store_access.is_reader:
+    def _follows_readers(self, at):
+        """Return whether readers follow the store for this host."""
+        if self._next_offset is None or self.store_access.is_reader:
             return False
-        if self._behind_since is not None and at - self._behind_since >= MISSED_FOR:
+        if self._behind_since is not None and at - self._behind_since >= REORDER_GRACE:
             return False
-        return at - self._told_at < self._pace.told_for
+        return at - self._reported_at < self._timing.reader_status_ttl
 
-    # What the store says.
+    # Calls to the store.
 
     async def run(self):
-        """List, then follow, until cancelled."""
-        await self._wait_at_start()
+        """List the topic, then follow it until cancelled."""
+        await self._wait_for_first_offset()
         while True:
-            if self._is_told(now()):
-                await self._wait_while_told()
+            if self._follows_readers(now()):
+                await self._wait_for_readers()
                 continue
-            result = await self._follow()
+            result = await self._poll()
             if isinstance(result, Failure):
                 result = await self._retry(result.failure())
             if result is None:
                 continue
             page = result.unwrap()
-            is_start = self.answered_at is None
+            is_first_answer = self.answered_at is None
             self.answered_at = self.confirmed_at = now()
             self.store_access.note_answer(self.answered_at)
-            if self._next is None:
-                self._next = page.next_offset
+            if self._next_offset is None:
+                self._next_offset = page.next_offset
                 self._behind_since = None
                 self._on_listing(page)
-                if is_start:
-                    self._told_at = (
-                        self.answered_at + FIRST_LISTING_TTL - self._pace.told_for
+                if is_first_answer:
+                    self._reported_at = (
+                        self.answered_at
+                        + FIRST_LISTING_TTL
+                        - self._timing.reader_status_ttl
                     )
                 continue
-            self._take(page)
+            self._apply(page)
             if self._on_read is not None:
                 self._on_read(self._topic, page)
             if page.records:
                 await asyncio.sleep(PAUSE_AFTER_PAGE)
 
-    async def _wait_at_start(self):
-        """Wait whether a reader says that there is nothing to list."""
-        until = now() + self._pace.start
-        while not (self._has_word or self.store_access.is_reader) and now() < until:
-            await self._wait_until(until)
-
-    async def _wait_while_told(self):
-        """Wait until something may have to be read."""
-        until = self._told_at + self._pace.told_for
+    async def _wait_for_first_offset(self):
+        """Wait for a reader to report the topic as empty."""
+        deadline = now() + self._timing.start_wait
+        while (
+            not (self._has_reader_offset or self.store_access.is_reader)
+            and now() < deadline
+        ):
+            await self._wait_until(deadline)
+
+    async def _wait_for_readers(self):
+        """Wait until the host may have to read from the store."""
+        deadline = self._reported_at + self._timing.reader_status_ttl
         if self._behind_since is not None:
-            until = min(until, self._behind_since + MISSED_FOR)
-        await self._wait_until(until)
+            deadline = min(deadline, self._behind_since + REORDER_GRACE)
+        await self._wait_until(deadline)
 
-    async def _wait_until(self, until):
-        """Wait until a moment, or until there is something to look at."""
-        self._awake.clear()
+    async def _wait_until(self, deadline):
+        """Wait until a deadline or the next call of `wake`."""
+        self._wakeup.clear()
         try:
-            async with asyncio.timeout(max(0.0, until - now())):
-                await self._awake.wait()
+            async with asyncio.timeout(max(0.0, deadline - now())):
+                await self._wakeup.wait()
         except TimeoutError:
             pass
 
-    async def _follow(self):
+    async def _poll(self):
         """
-        Make the waiting call, which `note_reader` may cut short.
+        List the topic or wait for changes.
 
-        It is None if others follow the store for this host by then.
+        Returns:
+          The result of the call, a `Failure` if `note_reader_offset` cancelled it, or
+          None if readers have taken over.
         """
-        self._reads_for_all = self.store_access.is_reader
-        self._is_given_up = False
+        self._is_reader_read = self.store_access.is_reader
+        self._is_read_abandoned = False
         self._read_task = asyncio.get_running_loop().create_task(
-            self._call(self._draw_wait())
+            self._fetch(self._choose_wait())
         )
         try:
             return await asyncio.shield(self._read_task)
         except asyncio.CancelledError:
-            # Whether the feed itself is to end, or `note_reader` cut its read short. At
-            # the end of a host both are cancelled, so the read alone does not tell: a
-            # feed that went on asking kept the process from ending.
+            # On shutdown both the feed and its read are cancelled, so the state of the
+            # read doesn't show whether the feed is to end.
             if asyncio.current_task().cancelling():
                 self._read_task.cancel()
                 raise
-            if self._is_given_up:
+            if self._is_read_abandoned:
                 return None
             return Failure(StoreError.AWAY)
         finally:
             self._read_task = None
 
-    def _draw_wait(self):
-        """Return how long a read waits; what is known to be there is not waited for."""
+    def _choose_wait(self):
+        """Return how long a read waits; 0 if changes are known to be available."""
         if self._behind_since is not None:
             return 0.0
-        # The others' time with the last word runs while this host rests after a page.
-        rested = now() - (self.answered_at or now())
-        wait = self._rng.uniform(self._pace.wait_least, self._pace.wait_most)
-        return max(0.0, wait - rested)
+        # The last report of this host expires for others while it pauses after a page.
+        elapsed = now() - (self.answered_at or now())
+        wait = self._rng.uniform(self._timing.min_wait, self._timing.max_wait)
+        return max(0.0, wait - elapsed)
 
-    async def _call(self, wait):
-        if self._next is None:
+    async def _fetch(self, wait):
+        if self._next_offset is None:
             return await self._store.list_newest(self._topic)
-        return await self._store.read(self._topic, self._next, wait)
+        return await self._store.read(self._topic, self._next_offset, wait)
 
     async def _retry(self, error):
         """
-        Call again and again until an answer comes, and return it.
+        Retry a failed call until it succeeds.
 
-        It is None if others follow the store for this host by then.
+        Args:
+          error: The `StoreError` of the failed call.
+        Returns:
+          The `Success`, or None if readers have taken over.
         """
-        pause = PAUSE_FIRST
+        delay = MIN_RETRY_DELAY
         async with self.store_access.hold(self._topic, error):
             if self.store_access.has_answered:
-                # Another feed has just found the store back; no need to wait again.
-                pause = 0.0
+                # Another feed has just reached the store, so retry at once.
+                delay = 0.0
             while True:
                 if not error.is_away:
                     log.warning(
-                        "relist", extra={"topic": self._topic, "cause": error.value}
+                        "listing topic again",
+                        extra={"topic": self._topic, "cause": error.value},
                     )
-                    self._next = None
+                    self._next_offset = None
                 else:
                     self.store_access.note_failure(now())
-                    spread = self._rng.uniform(1 - PAUSE_SPREAD, 1 + PAUSE_SPREAD)
-                    await asyncio.sleep(pause * spread)
-                    most = (
-                        PAUSE_MOST
+                    jitter = self._rng.uniform(1 - RETRY_JITTER, 1 + RETRY_JITTER)
+                    await asyncio.sleep(delay * jitter)
+                    max_delay = (
+                        MAX_RETRY_DELAY
                         if self.store_access.is_store_prober
-                        else PAUSE_OTHERS
+                        else MAX_FOLLOWER_RETRY_DELAY
                     )
-                    pause = min(most, max(PAUSE_FIRST, pause * 2))
-                if self._is_told(now()):
+                    delay = min(max_delay, max(MIN_RETRY_DELAY, delay * 2))
+                if self._follows_readers(now()):
                     return None
-                result = await self._call(0.0)
+                result = await self._fetch(0.0)
                 if not isinstance(result, Failure):
                     self.store_access.has_answered = True
                     return result
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -30,7 +30,7 @@
 from .clock import now
 from .endings import CrashDetector
 from .events import set_up_events
-from .feed import SELDOM, Feed
+from .feed import RARE_CHANGES, Feed
 from .front import Front
 from .gate import StoreAccess
 from .knowledge import HostState
@@ -130,7 +130,7 @@
                 self.stored.take,
                 self.stored.take,
                 rng,
-                SELDOM,
+                RARE_CHANGES,
             ),
         ]
         self.peers = PeerProtocol(
