--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/__init__.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/__init__.py
@@ -1,1 +1,1 @@
-"""A host that runs on the users' platform, from its sockets to its periodic work."""
+"""A host on the users' platform, with its sockets and periodic tasks."""
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/__main__.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/__main__.py
@@ -1,10 +1,9 @@
 """
 Run one host on the platform.
 
-SIGHUP is ignored before anything else is loaded. Loading takes half a second, and by
-default the signal ends a process, so a host that starts while settings change would not
-come up. Nothing is lost by that: the settings are read after it, and a file that
-changes later shows by its time.
+SIGHUP is ignored before anything else is imported. By default it terminates a process,
+so settings that change during the import would prevent a start. No change is missed:
+the settings are read after the import, and later changes show in the file's mtime.
 """
 
 import signal
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/clock.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/clock.py
@@ -1,5 +1,5 @@
 """
-The clock of a host.
+The monotonic clock of a host.
 """
 
 import time
@@ -7,10 +7,9 @@
 
 def now():
     """
-    Return the present in seconds, from a clock that never goes back.
+    Return the current time in seconds, from a monotonic clock.
 
-    Unlike the event loop's clock, this one also counts the time for which the
-    machine was suspended. A host that wakes from ten seconds of it must know at once
-    that its callers have gone and that what it knows is old.
+    Unlike the event loop's clock, it includes time for which the machine was suspended,
+    so that deadlines and data expire as soon as the host resumes.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/events.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/events.py
@@ -1,10 +1,10 @@
 """
-Structured log lines on standard output that never hold up the loop.
+Structured logging to standard output that never blocks the event loop.
 
-Each line is one JSON object: the time, the part, the event and its fields. Lines wait
-in a bounded buffer and are written when standard output takes them. A reader that has
-stopped reading fills the pipe; then lines are dropped and counted, and the count is
-the first thing written when it reads again.
+Each line is a JSON object with the time, the logger's name, the event and its fields.
+Lines are buffered up to a bound and written when standard output accepts them. While
+the pipe is full and the buffer too, lines are dropped and counted; the count is written
+first once the pipe is read again.
 """
 
 import asyncio
@@ -15,87 +15,87 @@
 
 from pythonjsonlogger.json import JsonFormatter
 
-# Lines that may wait. A line has some 300 bytes, so this is at most about 600 kB.
-WAITING_MOST = 2000
-# Seconds until a full pipe is tried again.
-PAUSE = 0.05
+# At about 300 bytes per line, the buffer takes up to 600 kB.
+MAX_BUFFERED_LINES = 2000
+# Seconds before writing to a full pipe is retried.
+RETRY_DELAY = 0.05
 
 
 class LineWriter(logging.Handler):
     """
-    A log handler that writes to a file descriptor without waiting.
+    A log handler that writes to a file descriptor without blocking.
 
     Args:
-      fd: The file descriptor, which is set not to block.
+      fd: The file descriptor, which is set to non-blocking mode.
     """
 
     def __init__(self, fd):
         super().__init__()
         self._fd = fd
-        self._waiting = collections.deque()
-        self._rest = b""
+        self._lines = collections.deque()
+        self._unwritten = b""
         self._dropped = 0
-        self._is_due = False
+        self._is_write_scheduled = False
         os.set_blocking(fd, False)
 
     def emit(self, record):
-        """Let a line wait, or count it if too many wait already."""
-        if len(self._waiting) >= WAITING_MOST:
+        """Buffer a line, or drop and count it if the buffer is full."""
+        if len(self._lines) >= MAX_BUFFERED_LINES:
             self._dropped += 1
             return
-        self._waiting.append(self.format(record))
-        if self._is_due:
+        self._lines.append(self.format(record))
+        if self._is_write_scheduled:
             return
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
             self._write()
             return
-        self._is_due = True
+        self._is_write_scheduled = True
         loop.call_soon(self._write)
 
     def _write(self):
-        """Write what waits; further lines are taken only when the former are out."""
-        self._is_due = False
-        if not self._rest:
-            self._rest = self._take_lines()
+        """Write a batch of buffered lines; the next one starts when it is complete."""
+        self._is_write_scheduled = False
+        if not self._unwritten:
+            self._unwritten = self._encode_lines()
         try:
-            self._rest = self._rest[os.write(self._fd, self._rest) :]
+            self._unwritten = self._unwritten[os.write(self._fd, self._unwritten) :]
         except BlockingIOError:
             pass
         except OSError:
-            # Nobody reads any more, and there is nowhere left to say so.
-            self._rest = b""
-        if self._rest or self._waiting:
-            self._write_later()
+            # The pipe is closed, and there is nowhere else to report that.
+            self._unwritten = b""
+        if self._unwritten or self._lines:
+            self._schedule_write()
 
-    def _take_lines(self):
-        """Return the bytes of all waiting lines, after a note of dropped ones."""
+    def _encode_lines(self):
+        """Clear the buffer and return its bytes, after the count of dropped lines."""
         if self._dropped:
             note = {"name": "log", "message": "dropped", "lines": self._dropped}
-            self._waiting.appendleft(json.dumps(note))
+            self._lines.appendleft(json.dumps(note))
             self._dropped = 0
-        lines = "".join(f"{line}\n" for line in self._waiting)
-        self._waiting.clear()
+        lines = "".join(f"{line}\n" for line in self._lines)
+        self._lines.clear()
         return lines.encode()
 
-    def _write_later(self):
+    def _schedule_write(self):
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
             return
-        self._is_due = True
-        loop.call_later(PAUSE, self._write)
+        self._is_write_scheduled = True
+        loop.call_later(RETRY_DELAY, self._write)
 
 
-def set_up_events(host, level=logging.INFO, fd=1):
+def configure_logging(host, level=logging.INFO, fd=1):
     """
-    Send all log records to standard output as JSON lines.
+    Write all log records to a file descriptor as JSON lines.
 
     Args:
-      host: The host's id, which each line carries.
-      level: The least level that is written.
-      fd: The file descriptor.
+      host: The host's id, which is added to each line.
+      level: The lowest level that is written.
+      fd: The file descriptor; standard output by default.
     """
     handler = LineWriter(fd)
     handler.setFormatter(
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/events_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/events_test.py
@@ -1,42 +1,37 @@
 """
-Tests of the log's writer with a reader that has stopped reading.
+Tests of the log handler with a full pipe.
 """
 
 import json
 import logging
 import os
 
-from .events import WAITING_MOST, LineWriter
+from .events import MAX_BUFFERED_LINES, LineWriter
 
 
-def _record(number):
+def _make_record(number):
     return logging.LogRecord("t", logging.INFO, "", 0, "x" * 200, None, None)
 
 
-def test_a_full_pipe_drops_lines_and_says_how_many():
-    """
-    A host grows until it is killed, because nobody reads its log.
-
-    The pipe is full; lines beyond a bound must be dropped, and the number is told
-    when somebody reads again.
-    """
+def test_a_full_pipe_drops_lines_and_reports_their_number():
+    """Guards against unbounded memory use when nothing reads the log."""
     reader, writer = os.pipe()
     handler = LineWriter(writer)
     handler.setFormatter(logging.Formatter('{"message": "%(message)s"}'))
-    for number in range(WAITING_MOST * 3):
-        handler.emit(_record(number))
-    # What fits the pipe, one batch under way, and the lines that may wait.
-    assert len(handler._waiting) <= WAITING_MOST
-    assert len(handler._rest) <= WAITING_MOST * 300
+    for number in range(MAX_BUFFERED_LINES * 3):
+        handler.emit(_make_record(number))
+    # The buffer and the batch being written are bounded.
+    assert len(handler._lines) <= MAX_BUFFERED_LINES
+    assert len(handler._unwritten) <= MAX_BUFFERED_LINES * 300
     assert handler._dropped > 0
     dropped = handler._dropped
     os.set_blocking(reader, False)
     text = b""
-    while handler._rest or handler._waiting:
+    while handler._unwritten or handler._lines:
         text += os.read(reader, 65536)
         handler._write()
     text += os.read(reader, 65536)
     os.close(reader)
     os.close(writer)
-    notes = [json.loads(line) for line in text.splitlines() if b"dropped" in line]
-    assert [note["lines"] for note in notes] == [dropped]
+    reports = [json.loads(line) for line in text.splitlines() if b"dropped" in line]
+    assert [report["lines"] for report in reports] == [dropped]
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
@@ -359,7 +359,7 @@
           The `Success`, or None if readers have taken over.
         """
         delay = MIN_RETRY_DELAY
-        async with self.store_access.hold(self._topic, error):
+        async with self.store_access.retry_turn(self._topic, error):
             if self.store_access.has_answered:
                 # Another feed has just reached the store, so retry at once.
                 delay = 0.0
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/gate.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/gate.py
@@ -1,5 +1,5 @@
 """
-How a host stands to the platform's store, for all its feeds together.
+A host's access to the platform's store, shared by all its feeds.
 """
 
 import asyncio
@@ -11,112 +11,117 @@
 from .clock import now
 
 log = logging.getLogger("store")
-# A reader's last word from the store may be this old, in seconds. The tightest bound on
-# what a host must know is two seconds from a change. Both readers may hang when it is
-# made, on a store that is silent to them alone; then each host must ask for itself soon
-# enough. It is a read that waits, a slow store's answer and the way by the hub.
+# Seconds for which a report from a reader is valid: long enough for a waiting read, a
+# slow answer and the delivery through the hub. Hosts must know of each change within
+# two seconds, even if both readers hang, so the rest must suffice for a read of their
+# own.
 READER_STATUS_TTL = 1.6
-# A host whose call failed is no reader for this long (seconds), unless a later one is
-# answered. Others do the part meanwhile, and hosts that the store turns away do not
-# take it on by turns.
-AWAY_FOR = 10.0
+# Seconds for which a host can't be a reader after a failed call, unless a later one
+# succeeds, so that hosts that the store rejects don't take turns as readers.
+FAILURE_TTL = 10.0
 
 
 class StoreAccess:
     """
-    How a host stands to the store; one feed at a time asks a store that is away.
+    A host's access to the store; one feed at a time retries while it is unavailable.
 
     Args:
-      on_away: Called with the present when the store is lost.
-      on_back: Called with the present when it answers again.
-      on_returned: Called with the moment at which it came back for another host.
+      on_unavailable: Called with the current time when the store becomes unavailable.
+      on_available: Called with the current time when it answers again.
+      on_recovery: Called with the time at which it recovered for another host.
     """
 
-    def __init__(self, on_away, on_back, on_returned):
+    def __init__(self, on_unavailable, on_available, on_recovery):
         self._lock = asyncio.Lock()
-        self._on_away = on_away
-        self._on_back = on_back
-        self._on_returned = on_returned
-        self._lost = 0
+        self._on_unavailable = on_unavailable
+        self._on_available = on_available
+        self._on_recovery = on_recovery
+        self._failing_feeds = 0
         self._failed_at = -math.inf
         self._answered_at = -math.inf
         self.has_answered = False
-        # When the store came back for this host, in seconds.
+        # When the store recovered for this host, in seconds.
         self.recovered_at = -math.inf
-        # Whether this host follows the store for the others.
+        # Whether this host reads the store and forwards changes to others.
         self.is_reader = False
-        # Whether it is among the first that ask a store that is away for all.
+        # Whether it is among the first hosts that retry while the store is unavailable.
         self.is_store_prober = True
 
     def status(self, at):
-        """Return the host's `StoreStatus` by now."""
-        if at - self._failed_at < AWAY_FOR:
+        """Return the host's `StoreStatus` at a time in seconds."""
+        if at - self._failed_at < FAILURE_TTL:
             return StoreStatus.AWAY
         if self.is_reader and at - self._answered_at < READER_STATUS_TTL:
             return StoreStatus.READING
         return StoreStatus.TOLD
 
     def set_reader(self, is_reader):
-        """Set whether this host reads for others, and return whether that is new."""
-        is_new = is_reader != self.is_reader
+        """Set whether this host is a reader, and return whether that has changed."""
+        has_changed = is_reader != self.is_reader
         self.is_reader = is_reader
-        return is_new
+        return has_changed
 
     def note_answer(self, at):
-        """Take note of an answer of the store."""
+        """Record a successful call to the store."""
         self._answered_at = at
         self._failed_at = -math.inf
 
     def note_failure(self, at):
-        """Take note of a call without an answer."""
+        """Record a failed call to the store."""
         self._failed_at = at
 
-    def note_recovery(self, returned_at):
-        """Take from another host when the store came back for it."""
-        self._on_returned(returned_at)
+    def note_recovery(self, recovered_at):
+        """Record when the store recovered for another host."""
+        self._on_recovery(recovered_at)
 
-    def hold(self, topic, error):
-        """Return an asynchronous context in which to ask until an answer comes."""
-        return _Held(self, topic, error)
+    def retry_turn(self, topic, error):
+        """Return an asynchronous context in which a feed retries a failed call."""
+        return _RetryTurn(self, topic, error)
 
-    async def enter(self, topic, error):
-        """Note a loss and wait for the turn to ask."""
+    async def begin_retry(self, topic, error):
+        """Record a failed call and wait for the feed's turn to retry."""
         is_away = error.is_away
         if is_away:
-            self._lost += 1
-            if self._lost == 1:
+            self._failing_feeds += 1
+            if self._failing_feeds == 1:
                 self.has_answered = False
-                log.warning("lost", extra={"topic": topic, "cause": error.value})
-                self._on_away(now())
+                log.warning(
+                    "store unavailable", extra={"topic": topic, "cause": error.value}
+                )
+                self._on_unavailable(now())
         await self._lock.acquire()
         return is_away
 
-    def leave(self, topic, was_away):
-        """Give the turn on, and note the return."""
+    def end_retry(self, topic, was_unavailable):
+        """Let the next feed retry, and record whether the store has recovered."""
         self._lock.release()
-        if was_away:
-            self._lost -= 1
-            if not self._lost:
-                log.info("regained", extra={"topic": topic, "own": self.has_answered})
+        if was_unavailable:
+            self._failing_feeds -= 1
+            if not self._failing_feeds:
+                log.info(
+                    "store available", extra={"topic": topic, "own": self.has_answered}
+                )
                 at = now()
                 if self.has_answered:
-                    # Else others follow the store for this host again, and it knows
-                    # only from them when it came back.
+                    # Otherwise readers have taken over, and this host knows the time
+                    # of the recovery only from them.
                     self.recovered_at = at
-                self._on_back(at)
+                self._on_available(at)
 
 
-class _Held:
-    """The context of `Gate.hold`."""
+class _RetryTurn:
+    """The context of `StoreAccess.retry_turn`."""
 
-    def __init__(self, gate, topic, error):
-        self.gate = gate
+    def __init__(self, store_access, topic, error):
+        self._store_access = store_access
         self._topic = topic
         self._error = error
-        self._was_away = False
+        self._was_unavailable = False
 
     async def __aenter__(self):
-        self._was_away = await self.gate.enter(self._topic, self._error)
+        self._was_unavailable = await self._store_access.begin_retry(
+            self._topic, self._error
+        )
 
     async def __aexit__(self, *exc_info):
-        self.gate.leave(self._topic, self._was_away)
+        self._store_access.end_retry(self._topic, self._was_unavailable)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -1,13 +1,14 @@
 """
-The process: one host on the platform, from its settings file to its end.
+The process of one host on the platform.
 
     python3 -m plumsaddle_hosts.edge
 
-The settings file is named by `PLUMSADDLE_CONFIG`, or by the only argument.
+The path of the settings file is the only argument, or else the value of
+`PLUMSADDLE_CONFIG`.
 
-On SIGTERM the host says that it is not ready and serves on, since callers keep coming
-until the balancer has turned away. Then it closes its listener and idle connections,
-and it ends when the last request has its answer or the grace is over.
+On SIGTERM the host reports that it isn't ready, and keeps serving until the load
+balancer has stopped sending it connections. Then it closes its listener and idle
+connections, and ends when all requests are answered or the grace period is over.
 """
 
 import asyncio
@@ -29,7 +30,7 @@
 from .callers import FrontServer
 from .clock import now
 from .endings import CrashDetector
-from .events import set_up_events
+from .events import configure_logging
 from .feed import RARE_CHANGES, Feed
 from .front import Front
 from .gate import StoreAccess
@@ -39,21 +40,21 @@
 from .peers import PeerProtocol
 from .relay import Relay
 from .sender import Sender
-from .stored import TOPIC as STORED_TOPIC, StoredSuspects
+from .stored import TOPIC as SUSPECTS_TOPIC, StoredSuspects
 
 log = logging.getLogger("host")
 SETTINGS_VARIABLE = "PLUMSADDLE_CONFIG"
-EXIT_MISTAKE = 2
-BEAT_EVERY = 1.0
-BACKLOG = 512
-# The balancer asks each second and turns away after two misses; with the time of a
-# slow answer, new connections come for up to three seconds more.
-LISTEN_ON = 3.2
-# Kept back from the grace for closing down, in seconds, and the part of it in which
-# what is left of requests is answered.
-GRACE_MARGIN = 0.3
-ANSWERED_WITHIN = 0.1
-LOOK_EVERY = 0.05
+EXIT_BAD_SETTINGS = 2
+HOUSEKEEPING_INTERVAL = 1.0
+LISTEN_BACKLOG = 512
+# Seconds for which new connections may arrive after the host has become unready: the
+# load balancer checks every second and removes a host after two failed checks.
+DRAIN_LISTEN_TIME = 3.2
+# Seconds of the grace period that are reserved for closing, and the part of them in
+# which the remaining requests are answered.
+SHUTDOWN_MARGIN = 0.3
+FINAL_ANSWER_TIME = 0.1
+DRAIN_POLL_INTERVAL = 0.05
 
 
 def read_settings(path):
@@ -63,7 +64,7 @@
     Args:
       path: The file's path.
     Returns:
-      A `Success` of `HostSettings`, or a `Failure` of a list of mistakes.
+      A `Success` of `HostSettings`, or a `Failure` of a list of error messages.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -74,11 +75,11 @@
 
 class Host:
     """
-    One host with all its parts.
+    One host with all its components.
 
     Args:
       settings: The `HostSettings`.
-      path: Where the settings were read from.
+      path: The path of the settings file.
     """
 
     def __init__(self, settings, path):
@@ -92,15 +93,15 @@
         self._store_session = make_session()
         self.store = Store(self._store_session, f"http://{settings.store_address}")
         registry = self.knowledge.registry
-        self.store_access = gate = StoreAccess(
+        self.store_access = store_access = StoreAccess(
             registry.note_store_unavailable,
             registry.note_store_available,
             registry.note_store_recovery,
         )
         suspects = self.knowledge.shared.suspects
-        self.stored = StoredSuspects(self.store, suspects, gate)
+        self.stored = StoredSuspects(self.store, suspects, store_access)
         self.endings = CrashDetector(
-            self.knowledge, self.links, self.metrics, self.stored.write_soon
+            self.knowledge, self.links, self.metrics, self.stored.schedule_write
         )
         sender = Sender(self.knowledge, self.links, self.metrics, self.endings)
         relay = Relay(self.knowledge, sender, self.metrics, self.endings)
@@ -110,7 +111,7 @@
             Feed(
                 self.store,
                 wire.OPERATOR_TOPIC,
-                gate,
+                store_access,
                 self.knowledge.apply_operator_records,
                 self.knowledge.apply_operator_records,
                 rng,
@@ -118,141 +119,143 @@
             Feed(
                 self.store,
                 wire.TARGETS_TOPIC,
-                gate,
+                store_access,
                 self.knowledge.apply_target_listing,
                 self.knowledge.apply_target_changes,
                 rng,
             ),
             Feed(
                 self.store,
-                STORED_TOPIC,
-                gate,
-                self.stored.take,
-                self.stored.take,
+                SUSPECTS_TOPIC,
+                store_access,
+                self.stored.apply_page,
+                self.stored.apply_page,
                 rng,
                 RARE_CHANGES,
             ),
         ]
         self.peers = PeerProtocol(
-            settings, self.knowledge.shared, gate, self._feeds, rng
+            settings, self.knowledge.shared, store_access, self._feeds, rng
         )
-        configurations = self._feeds[0]
+        operator_feed = self._feeds[0]
         self.knowledge.subscribe(
-            self.peers.send_update_soon, self._end_life, configurations.age
+            self.peers.send_update_soon, self._on_target_restart, operator_feed.age
         )
         self._servers = []
         self._tasks = []
-        self._callers = None
+        self._front_server = None
         self.stop = asyncio.Event()
 
     async def run(self):
-        """Serve until SIGTERM or SIGINT, and leave cleanly."""
+        """Serve until SIGTERM or SIGINT, then shut down gracefully."""
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._on_stop)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self._on_stop)
         loop.add_signal_handler(signal.SIGHUP, self._reload, "SIGHUP")
         await self.start()
-        # What was made while starting lives as long as the process.
+        # Objects created at startup live as long as the process.
         gc.freeze()
         await self.stop.wait()
         await self.drain()
 
     async def start(self):
-        """Open the listeners and begin to follow the store."""
+        """Open the listeners and start the background tasks."""
         await self.peers.open()
-        self._callers = FrontServer(self.front, self.knowledge)
-        ready = web.Server(self._answer_operator, access_log=None)
+        self._front_server = FrontServer(self.front, self.knowledge)
+        operator_server = web.Server(self._handle_operator_request, access_log=None)
         self._servers = [
-            await _listen(self._callers, self.settings.caller_address),
-            await _listen(ready, self.settings.readiness_address),
+            await _listen(self._front_server, self.settings.caller_address),
+            await _listen(operator_server, self.settings.readiness_address),
         ]
         loop = asyncio.get_running_loop()
-        for work in (
+        for coroutine in (
             *(feed.run() for feed in self._feeds),
-            self._beat(),
-            self._tick(),
+            self._run_housekeeping(),
+            self._run_peer_updates(),
         ):
-            task = loop.create_task(work)
-            task.add_done_callback(_report)
+            task = loop.create_task(coroutine)
+            task.add_done_callback(_log_task_failure)
             self._tasks.append(task)
         log.info(
-            "start",
+            "host started",
             extra={
                 "callers": self.settings.caller_address,
                 "store": self.settings.store_address,
-                "off": sorted(part.value for part in self.settings.disabled_features),
+                "off": sorted(
+                    feature.value for feature in self.settings.disabled_features
+                ),
             },
         )
 
-    def _end_life(self, life):
-        """Take it that a target has started again, so that its former life is over."""
-        self.endings.note_restarted(life)
-        self.links.close_incarnation(life)
+    def _on_target_restart(self, incarnation):
+        """Handle the end of a target's incarnation after the target has restarted."""
+        self.endings.note_restarted(incarnation)
+        self.links.close_incarnation(incarnation)
 
     def _on_stop(self):
-        log.info("stop", extra={"in_flight": self.front.in_flight})
+        log.info("shutdown requested", extra={"in_flight": self.front.in_flight})
         self.stop.set()
 
     async def drain(self):
-        """Serve on until the callers have turned away, then end what runs."""
+        """Serve until no new connections arrive, then finish requests and close."""
         self.front.drain()
-        deadline = now() + self.settings.bounds.grace - GRACE_MARGIN
-        await asyncio.sleep(min(LISTEN_ON, max(0.0, deadline - now())))
+        deadline = now() + self.settings.bounds.grace - SHUTDOWN_MARGIN
+        await asyncio.sleep(min(DRAIN_LISTEN_TIME, max(0.0, deadline - now())))
         self._servers[0].close()
-        is_quiet = False
-        while not is_quiet and now() < deadline:
-            # A request that was read just before its connection was closed shows as
-            # under way only after the loop's next turn.
-            self._callers.close_idle()
-            await asyncio.sleep(LOOK_EVERY)
-            is_quiet = not self.front.in_flight
-        if not is_quiet:
+        is_idle = False
+        while not is_idle and now() < deadline:
+            # A request that was read just before its connection was closed is counted
+            # as in flight only after the next iteration of the event loop.
+            self._front_server.close_idle()
+            await asyncio.sleep(DRAIN_POLL_INTERVAL)
+            is_idle = not self.front.in_flight
+        if not is_idle:
             self._relay.refuse_in_flight()
-            await asyncio.sleep(ANSWERED_WITHIN)
+            await asyncio.sleep(FINAL_ANSWER_TIME)
         await self.close()
-        log.info("end", extra={"in_flight": self.front.in_flight})
+        log.info("host stopped", extra={"in_flight": self.front.in_flight})
 
     async def close(self):
-        """Close all that is open, at once."""
+        """Cancel all tasks and close all listeners and connections."""
         for task in self._tasks:
             task.cancel()
         for server in self._servers:
             server.close()
-        self._callers.close_idle()
+        self._front_server.close_idle()
         self.peers.close()
         self.links.close_idle()
         await self._store_session.close()
 
-    async def _beat(self):
-        """Do the work of each second."""
+    async def _run_housekeeping(self):
+        """Run the periodic work of every second."""
         while True:
             at = now()
             self.knowledge.expire(at)
             self.links.close_expired(self.knowledge.registry.incarnations())
             self.endings.tick(at)
-            self.stored.forget_old(at)
-            self.stored.write_soon()
+            self.stored.evict_expired(at)
+            self.stored.schedule_write()
             self.peers.send_heartbeat(at)
-            self._look_at_settings()
+            self._reload_if_changed()
             cfg = self.knowledge.cfg
             if cfg is not None:
                 self.metrics.version.set({}, cfg.version)
             self.metrics.in_flight.set({}, self.front.in_flight)
-            await asyncio.sleep(BEAT_EVERY)
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL)
 
-    async def _tick(self):
-        """Do this host's part for the others, again and again."""
+    async def _run_peer_updates(self):
+        """Exchange updates with other hosts."""
         while True:
             await asyncio.sleep(self.peers.tick(now()))
 
-    def _look_at_settings(self):
-        """Reload the settings if their file has changed without a signal."""
+    def _reload_if_changed(self):
+        """Reload the settings if their file has changed without a SIGHUP."""
         mtime = _mtime_of(self._path)
         if mtime != self._mtime:
             self._reload("changed file")
 
     def _reload(self, cause):
-        """Take the settings anew; listeners keep the addresses that they have."""
+        """Reload the settings; listeners keep their addresses."""
         self._mtime = _mtime_of(self._path)
         result = read_settings(self._path)
         if isinstance(result, Failure):
@@ -263,8 +266,8 @@
         self.peers.apply_settings(self.settings)
         log.info("reload", extra={"cause": cause})
 
-    async def _answer_operator(self, request):
-        """Answer the balancer's question and the request for metrics."""
+    async def _handle_operator_request(self, request):
+        """Handle a readiness check or a request for metrics."""
         if request.path == "/metrics":
             text, headers = self.metrics.render()
             return web.Response(body=text, headers=headers)
@@ -277,7 +280,7 @@
 async def _listen(server, address):
     ip, port = split_address(address)
     loop = asyncio.get_running_loop()
-    return await loop.create_server(server, ip, port, backlog=BACKLOG)
+    return await loop.create_server(server, ip, port, backlog=LISTEN_BACKLOG)
 
 
 def _mtime_of(path):
@@ -287,10 +290,10 @@
         return None
 
 
-def _report(task):
-    """Log a task that broke; nothing else would say so."""
+def _log_task_failure(task):
+    """Log the exception of a background task, which nothing awaits."""
     if not task.cancelled() and task.exception() is not None:
-        log.error("task broke", exc_info=task.exception())
+        log.error("task failed", exc_info=task.exception())
 
 
 async def _run_host(settings, path):
@@ -298,15 +301,15 @@
 
 
 def main():
-    """Run one host; the settings' path is the argument or in the environment."""
+    """Run one host with the settings file named by the argument or environment."""
     path = sys.argv[1] if len(sys.argv) > 1 else os.environ.get(SETTINGS_VARIABLE, "")
     result = read_settings(path)
     if isinstance(result, Failure):
-        for mistake in result.failure():
-            print(mistake, file=sys.stderr)
-        sys.exit(EXIT_MISTAKE)
+        for message in result.failure():
+            print(message, file=sys.stderr)
+        sys.exit(EXIT_BAD_SETTINGS)
     settings = result.unwrap()
-    set_up_events(settings.id)
+    configure_logging(settings.id)
     asyncio.run(_run_host(settings, path))
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/metrics.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/metrics.py
@@ -1,5 +1,5 @@
 """
-The counters and histograms of a host on the platform.
+The metrics of a host on the platform.
 """
 
 from aioprometheus import Counter, Gauge, Histogram
@@ -15,7 +15,7 @@
     All metrics of one host.
 
     Args:
-      host: The host's id, which every series carries.
+      host: The host's id, which is a label of every series.
     """
 
     def __init__(self, host):
@@ -37,5 +37,5 @@
         )
 
     def render(self):
-        """Return the text of all metrics, and its HTTP headers."""
+        """Return all metrics as text, and its HTTP headers."""
         return render(self._registry, [])
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored.py
@@ -1,9 +1,9 @@
 """
-What the platform's store says of requests that are held back.
+The records of suspect requests in the platform's store.
 
-Hosts tell each other at once by datagrams. The store is the second way: it reaches data
-centres that are cut off from each other, hosts that start after all others have lost
-what they knew, and operators. One keyed topic holds one record for each request.
+Hosts inform each other at once in datagrams. The store also reaches data centres that
+are partitioned from each other, hosts that start after all others have lost their
+state, and operators. One keyed topic holds one record for each request.
 """
 
 import asyncio
@@ -19,13 +19,13 @@
 TOPIC = "keyed.suspects"
 
 
-class Record(msgspec.Struct):
+class SuspectRecord(msgspec.Struct):
     """
-    What is known of one request.
+    The stored state of a suspect request.
 
-    `at` is when the last target ended under it, in seconds since the epoch, for
-    operators. Hosts count from when they read it: the time of day of one of them may be
-    off by an hour, and the others would let the request through at once.
+    `at` is when the request last crashed a target, in seconds since the epoch, for
+    operators only. Hosts count from when they read the record, since the wall clock of
+    the host that wrote it may be wrong.
     """
 
     ended: list[str]
@@ -33,83 +33,90 @@
     at: float
 
 
-decode_record = msgspec.json.Decoder(Record).decode
+decode_record = msgspec.json.Decoder(SuspectRecord).decode
 
 
 class StoredSuspects:
     """
-    The host's way to that topic.
+    Reads and writes the records of suspect requests.
 
     Args:
       store: The `Store`.
       suspects: The host's `SuspectRequests`.
-      gate: The `Gate`.
+      store_access: The `StoreAccess`.
     """
 
-    def __init__(self, store, suspects, gate):
+    def __init__(self, store, suspects, store_access):
         self._store = store
         self._suspects = suspects
-        self._gate = gate
-        self._writing = None
+        self._store_access = store_access
+        self._write_task = None
 
-    def take(self, page):
-        """Take a `Page` of the topic, whether it lists all keys or tells changes."""
+    def apply_page(self, page):
+        """Apply a `Page` of the topic, a listing or changes."""
         for record in page.records:
             if record.value is None:
                 self._suspects.drop(record.key)
-                log.info("let go", extra={"key": record.key})
+                log.info("record removed", extra={"key": record.key})
             else:
-                self._take_record(record)
+                self._apply_record(record)
 
-    def _take_record(self, record):
+    def _apply_record(self, record):
         try:
-            known = decode_record(record.value)
+            decoded = decode_record(record.value)
         except (msgspec.DecodeError, UnicodeDecodeError) as exc:
-            log.error("unusable", extra={"key": record.key, "cause": str(exc)})
+            log.error("record unreadable", extra={"key": record.key, "cause": str(exc)})
             return
-        self._suspects.add_stored(record.key, known.ended, known.answered, now())
+        self._suspects.add_stored(record.key, decoded.ended, decoded.answered, now())
 
-    def write_soon(self):
-        """Write what the store does not say yet; a call that fails is made again."""
-        if self._writing is not None:
+    def schedule_write(self):
+        """
+        Start to write the records that are not in the store yet.
+
+        It does nothing while a write is in progress; a failed write is retried by the
+        next call.
+        """
+        if self._write_task is not None:
             return
-        rows = self._suspects.unsaved()
-        if rows:
-            self._start(self._write(rows))
-
-    def forget_old(self, at):
-        """Forget what is too old, here and, as one of the readers, in the store."""
-        stored = self._suspects.evict_expired(at)
-        if stored and self._gate.is_reader and self._writing is None:
-            self._start(self._store.put(TOPIC, dict.fromkeys(stored, b"")))
-
-    def _start(self, work):
-        self._writing = asyncio.get_running_loop().create_task(work)
-        self._writing.add_done_callback(self._end)
-
-    def _end(self, task):
-        self._writing = None
+        unsaved = self._suspects.unsaved()
+        if unsaved:
+            self._start_write(self._write(unsaved))
+
+    def evict_expired(self, at):
+        """Evict expired records here and, if this host is a reader, in the store."""
+        expired_keys = self._suspects.evict_expired(at)
+        if expired_keys and self._store_access.is_reader and self._write_task is None:
+            self._start_write(self._store.put(TOPIC, dict.fromkeys(expired_keys, b"")))
+
+    def _start_write(self, write):
+        self._write_task = asyncio.get_running_loop().create_task(write)
+        self._write_task.add_done_callback(self._on_write_done)
+
+    def _on_write_done(self, task):
+        self._write_task = None
         if not task.cancelled() and task.exception() is not None:
-            log.error("write broke", exc_info=task.exception())
+            log.error("write failed", exc_info=task.exception())
 
-    async def _write(self, rows):
+    async def _write(self, unsaved):
         at = now()
         values = {
             key: msgspec.json.encode(
-                Record(
+                SuspectRecord(
                     ended,
                     answered,
                     time.time() - at + self._suspects.last_crash_at(key),
                 )
             )
-            for key, (ended, answered) in rows.items()
+            for key, (ended, answered) in unsaved.items()
         }
         result = await self._store.put(TOPIC, values)
         is_written = not isinstance(result, Failure)
-        log.info("written", extra={"keys": list(rows), "is_written": is_written})
+        log.info(
+            "records written", extra={"keys": list(unsaved), "is_written": is_written}
+        )
         if not is_written:
             return
-        for key, (ended, answered) in rows.items():
+        for key, (ended, answered) in unsaved.items():
             if key in self._suspects:
-                last_at = self._suspects.last_crash_at(key)
-                self._suspects.add_stored(key, ended, answered, last_at)
+                last_crash_at = self._suspects.last_crash_at(key)
+                self._suspects.add_stored(key, ended, answered, last_crash_at)
