--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
@@ -368,7 +368,7 @@
 
     async def run():
         store = ScriptedStore()
-        topic_feed, _, _ = _make_rarely_changing_feed(store)
+        topic_feed, access, _ = _make_rarely_changing_feed(store)
         topic_feed.store_access.set_reader(True)
         task = asyncio.ensure_future(topic_feed.run())
         await asyncio.sleep(0.05)
