--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
@@ -69,7 +69,7 @@
     def work_well(self, now, count=20):
         for _ in range(count):
             for key in self.keys:
-                self.evidence.note(key, HealthSignal.GOOD, now)
+                self.evidence.note_signal(key, HealthSignal.GOOD, now)
                 for reporter in HOSTS:
                     self.tell(reporter, key, now, good=1)
 
@@ -119,7 +119,7 @@
     bench.work_well(1.0)
     bench.tell("b1@1", bench.keys[0], 2.0, failed=1)
     for step in range(4):
-        bench.evidence.note(bench.keys[0], HealthSignal.FAILED, 20.0 + step)
+        bench.evidence.note_signal(bench.keys[0], HealthSignal.FAILED, 20.0 + step)
     bench.review(24.0)
     bench.review(25.1)
     assert bench.standing(0) is HealthState.EJECTED
@@ -144,7 +144,7 @@
     bench = Bench()
     bench.work_well(1.0)
     for _ in range(4):
-        bench.evidence.note(bench.keys[0], HealthSignal.FAILED, 2.0)
+        bench.evidence.note_signal(bench.keys[0], HealthSignal.FAILED, 2.0)
         for reporter in HOSTS:
             bench.tell(reporter, bench.keys[0], 2.0, good=5)
     assert bench.review(2.1) == []
@@ -162,7 +162,7 @@
     bench.work_well(1.0)
     for key in bench.keys:
         for _ in range(4):
-            bench.evidence.note(key, HealthSignal.FAILED, 2.0)
+            bench.evidence.note_signal(key, HealthSignal.FAILED, 2.0)
         for reporter in HOSTS:
             bench.tell(reporter, key, 2.0, good=5)
     assert suspects_itself([(bench.pool, bench.evidence)], 2.1)
@@ -337,5 +337,5 @@
         sign = HealthSignal.SLOW if roll < 0.09 else HealthSignal.GOOD
         if roll > 0.998:
             sign = HealthSignal.FAILED
-        bench.evidence.note(key, sign, step * 0.05)
+        bench.evidence.note_signal(key, sign, step * 0.05)
         assert bench.review(step * 0.05) == []
--- a/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
@@ -186,7 +186,7 @@
         self._clock = 0.0
         self._heard = {}
 
-    def note(self, target, sign, now):
+    def note_signal(self, target, sign, now):
         """
         Take a sign that this host saw itself.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
@@ -120,7 +120,7 @@
         noted.sign = sign
         key = noted.member.target.key
         if key in self.pool.members:
-            self.evidence.note(key, sign, now)
+            self.evidence.note_signal(key, sign, now)
             if sign is not HealthSignal.GOOD and self.evidence.is_suspect(key, now):
                 self._has_bad_news = True
             note_trial(noted.member, sign is HealthSignal.GOOD, now, self._rng)
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -88,7 +88,7 @@
         if noted.sign is HealthSignal.FAILED:
             return
         noted.sign = sign
-        self.evidence.note(noted.target, sign, now)
+        self.evidence.note_signal(noted.target, sign, now)
         if sign is not HealthSignal.GOOD and self.evidence.is_suspect(
             noted.target, now
         ):
--- a/packages/plumsaddle-standins/plumsaddle_standins/slopes.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/slopes.py
@@ -102,7 +102,7 @@
         "me@1", DetectionTradeoff.FALSE_EJECTIONS, lambda host: host[-3]
     )
     for number in range(targets):
-        evidence.note(f"t-{number}", HealthSignal.GOOD, 1.0)
+        evidence.note_signal(f"t-{number}", HealthSignal.GOOD, 1.0)
         rows = [EvidenceRow(f"host-{h}@1", f"t-{number}", 5, 0, 0) for h in range(40)]
         evidence.merge(rows, 1.0)
     return evidence
