--- a/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
@@ -392,7 +392,7 @@
         view.slowness.parts.clear()
         view.path.amount = 0.0
 
-    def forget(self, targets):
+    def retain_targets(self, targets):
         """Drop whatever is known of targets that are not in the given set."""
         for target in set(self.views) - set(targets):
             del self.views[target]
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
@@ -58,7 +58,7 @@
         """Take a newer configuration of the service by now."""
         self.service = service
         self.pool.update(service, hosts_max, now)
-        self.evidence.forget(self.pool.members)
+        self.evidence.retain_targets(self.pool.members)
         self.budget.ratio = service.retry_ratio
         self.room.wake()
 
