--- a/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
@@ -80,7 +80,7 @@
     """A cumulative sum, kept by reporter so that each one's part can be capped."""
 
     def __init__(self):
-        self.parts = {}
+        self.by_reporter = {}
 
     def add(self, reporter, amount, weigh):
         """
@@ -91,13 +91,13 @@
           amount: The log-likelihood ratio of what was seen.
           weigh: A function from all parts to their capped whole.
         """
-        self.parts[reporter] = self.parts.get(reporter, 0.0) + amount
-        if weigh(self.parts) <= 0:
-            self.parts.clear()
+        self.by_reporter[reporter] = self.by_reporter.get(reporter, 0.0) + amount
+        if weigh(self.by_reporter) <= 0:
+            self.by_reporter.clear()
 
     def accusers(self):
         """Return how many reporters speak against the target."""
-        return sum(part > 0 for part in self.parts.values())
+        return sum(part > 0 for part in self.by_reporter.values())
 
 
 class PathSum:
@@ -342,7 +342,7 @@
         if view is None:
             return Score(0.0, 0.0, 0)
         worse = max(
-            (self._cap(view, amounts.parts, now), amounts.accusers())
+            (self._cap(view, amounts.by_reporter, now), amounts.accusers())
             for amounts in (view.failures, view.slowness)
         )
         own = view.path.value(now) / self.threshold
@@ -388,8 +388,8 @@
     def clear(self, target):
         """Forget the sums of a target that starts anew."""
         view = self._view(target)
-        view.failures.parts.clear()
-        view.slowness.parts.clear()
+        view.failures.by_reporter.clear()
+        view.slowness.by_reporter.clear()
         view.path.amount = 0.0
 
     def retain_targets(self, targets):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/admin.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/admin.py
@@ -152,8 +152,8 @@
         "seen_by": {
             reporter: {
                 **counts._asdict(),
-                "failure_part": round(view.failures.parts.get(reporter, 0.0), 2),
-                "slowness_part": round(view.slowness.parts.get(reporter, 0.0), 2),
+                "failure_part": round(view.failures.by_reporter.get(reporter, 0.0), 2),
+                "slowness_part": round(view.slowness.by_reporter.get(reporter, 0.0), 2),
                 "seconds_ago": round(now - view.changed[reporter], 1),
             }
             for reporter, counts in seen
