--- a/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
@@ -159,7 +159,7 @@
         self.failures = Sum()
         self.slowness = Sum()
         self.path = PathSum()
-        self.changed = {}
+        self.changed_at = {}
         self.bad_at = -math.inf
         self.heard_good_at = -math.inf
         self.standing_out = None
@@ -237,7 +237,7 @@
             new.good - old.good, new.slow - old.slow, new.failed - old.failed
         )
         view.counts[row.reporter] = new
-        view.changed[row.reporter] = now
+        view.changed_at[row.reporter] = now
         self._heard[row.reporter] = now
         self._weigh(row.reporter, row.target, view, delta, now)
         self._fade(view)
@@ -286,7 +286,7 @@
         fewer than `OBSERVERS_NEEDED` hosts tell of the service at all, they are enough:
         a small fleet, or what is left of one, must be able to eject too.
         """
-        observers = [r for r, at in view.changed.items() if now - at < RECENT]
+        observers = [r for r, at in view.changed_at.items() if now - at < RECENT]
         heard = sum(now - at < RECENT for at in self._heard.values())
         needed = max(1, min(OBSERVERS_NEEDED, heard))
         by_centre = {}
@@ -415,11 +415,11 @@
         ranked = []
         for target, view in self.views.items():
             score = self.score(target, now).total if now - view.bad_at < RECENT else 0.0
-            told = view.changed if score >= WORTH_TELLING else (self.own,)
+            told = view.changed_at if score >= WORTH_TELLING else (self.own,)
             newest = sorted(
-                (-view.changed[reporter], reporter)
+                (-view.changed_at[reporter], reporter)
                 for reporter in told
-                if now - view.changed.get(reporter, -math.inf) < RECENT
+                if now - view.changed_at.get(reporter, -math.inf) < RECENT
             )
             for place, (at, reporter) in enumerate(newest):
                 row = EvidenceRow(reporter, target, *view.counts[reporter])
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/admin.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/admin.py
@@ -154,7 +154,7 @@
                 **counts._asdict(),
                 "failure_part": round(view.failures.by_reporter.get(reporter, 0.0), 2),
                 "slowness_part": round(view.slowness.by_reporter.get(reporter, 0.0), 2),
-                "seconds_ago": round(now - view.changed[reporter], 1),
+                "seconds_ago": round(now - view.changed_at[reporter], 1),
             }
             for reporter, counts in seen
         },
