--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
@@ -49,11 +49,11 @@
       A list of `Change`.
     """
     changes = []
-    pool.is_shared_fate = is_dependency_failing or _fails_alike(pool, evidence, now)
+    pool.has_common_failure = is_dependency_failing or _fails_alike(pool, evidence, now)
     for key, member in pool.members.items():
         _mark_avoided(member, evidence.score(key, now))
         changes += _let_back(member, evidence, now, rng)
-    if not pool.is_shared_fate and not is_suspect_itself:
+    if not pool.has_common_failure and not is_suspect_itself:
         changes += _eject_worst(pool, evidence, now, rng)
     changes += keep_floor(pool, evidence, now)
     return changes
--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
@@ -182,7 +182,7 @@
             for reporter in HOSTS:
                 bench.tell(reporter, key, 2.0 + step, failed=1)
         assert bench.review(2.1 + step) == []
-    assert bench.pool.is_shared_fate
+    assert bench.pool.has_common_failure
 
 
 def test_nothing_is_ejected_while_a_dependency_fails():
@@ -194,7 +194,7 @@
     bench.fail_everywhere(bench.keys[0], 2.0)
     for now in (2.1, 3.2):
         assert bench.review(now, is_dependency_failing=True) == []
-    assert bench.pool.is_shared_fate
+    assert bench.pool.has_common_failure
     assert [c.new for c in bench.review(4.3)] == []
     assert [c.new for c in bench.review(5.4)] == [HealthState.EJECTED]
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
@@ -69,7 +69,7 @@
     def __init__(self, service, hosts_max):
         self.members = {}
         self.service = service
-        self.is_shared_fate = False
+        self.has_common_failure = False
         self.shed_at = -math.inf
         self.update(service, hosts_max, -math.inf)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
@@ -98,7 +98,7 @@
         if overdue_after is None or not self.budget.has_retry():
             return None
         at = now + max(overdue_after, OVERDUE_LEAST)
-        return at if at < deadline and not self.pool.is_shared_fate else None
+        return at if at < deadline and not self.pool.has_common_failure else None
 
     def take_bad_news(self):
         """Return whether something bad was seen since the last call."""
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/admin.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/admin.py
@@ -110,7 +110,7 @@
 def _describe_service(state, now):
     return {
         "floor": state.service.floor,
-        "fails_alike": state.pool.is_shared_fate,
+        "fails_alike": state.pool.has_common_failure,
         "targets": {
             member.target.id: {
                 "standing": member.standing.value,
@@ -148,7 +148,7 @@
         "back_off_left": round(max(0.0, member.until - now), 1),
         "ejections": member.ejections,
         "score": score._asdict(),
-        "service_fails_alike": state.pool.is_shared_fate,
+        "service_fails_alike": state.pool.has_common_failure,
         "seen_by": {
             reporter: {
                 **counts._asdict(),
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
@@ -315,7 +315,7 @@
             ((state.pool, state.evidence) for state in states), now
         )
         self._set_leaving(now)
-        failing = {s.service.name for s in states if s.pool.is_shared_fate}
+        failing = {s.service.name for s in states if s.pool.has_common_failure}
         for state in states:
             changes = review(
                 state.pool,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/front/plain.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/front/plain.py
@@ -128,7 +128,7 @@
         return False
     if trouble.kind is FailureKind.SHED:
         return True
-    if tried >= TRIES_MOST or state.pool.is_shared_fate:
+    if tried >= TRIES_MOST or state.pool.has_common_failure:
         return False
     return trouble.is_unsent or state.budget.spend()
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -63,7 +63,7 @@
         is_last = len(begun.request.tried) + 1 >= TRIES_MOST
         if is_last or overdue_after is None or not self.budget.has_retry():
             return None
-        if self.pool.is_shared_fate:
+        if self.pool.has_common_failure:
             return None
         return now + max(overdue_after, OVERDUE_LEAST)
 
@@ -82,7 +82,7 @@
         if trouble in (None, FailureKind.SHED):
             return True
         is_cheap = trouble is FailureKind.CONNECT
-        return not self.pool.is_shared_fate and (is_cheap or self.budget.spend())
+        return not self.pool.has_common_failure and (is_cheap or self.budget.spend())
 
     def _note(self, noted, sign, now):
         if noted.sign is HealthSignal.FAILED:
