--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
@@ -64,12 +64,12 @@
     staying = [
         key
         for key, member in pool.members.items()
-        if member.standing is not HealthState.DRAINING
+        if member.health is not HealthState.DRAINING
     ]
     bad = [
         key
         for key in staying
-        if pool.members[key].standing in (HealthState.EJECTED, HealthState.TRIAL)
+        if pool.members[key].health in (HealthState.EJECTED, HealthState.TRIAL)
         or evidence.score(key, now).total >= SUSPECT
     ]
     return len(staying) > 1 and len(bad) > SHARED_SHARE * len(staying)
@@ -91,7 +91,7 @@
     scored = [
         (evidence.score(key, now), key)
         for key, member in pool.members.items()
-        if member.standing
+        if member.health
         in (HealthState.HEALTHY, HealthState.SLOW_START, HealthState.TRIAL)
     ]
     convicted = sorted(
@@ -104,7 +104,7 @@
     )
     changes = []
     for score, key in convicted:
-        is_warm = pool.members[key].standing is HealthState.HEALTHY
+        is_warm = pool.members[key].health is HealthState.HEALTHY
         if count_warm(pool) - is_warm < floor_of(pool):
             break
         reason = (
@@ -117,7 +117,7 @@
 
 def _eject(member, now, rng, reason):
     """Take a target out, for longer each time it comes back and fails again."""
-    old = member.standing
+    old = member.health
     if now - member.since > FORGIVEN_AFTER:
         member.ejections = 0
     pause = min(BACK_OFF_MOST, BACK_OFF * 2**member.ejections)
@@ -125,13 +125,13 @@
     member.set_standing(HealthState.EJECTED, now, reason)
     member.until = now + pause * rng.uniform(1.0, 1.5)
     member.trials = 0
-    return Change(member.target.key, old, member.standing, reason)
+    return Change(member.target.key, old, member.health, reason)
 
 
 def _let_back(member, evidence, now, rng):
     """Move an ejected target on towards good standing."""
     view = evidence.views.get(member.target.key)
-    old = member.standing
+    old = member.health
     if old is HealthState.EJECTED:
         if view and view.bad_at > member.since and not math.isinf(member.until):
             # Another host's trial has just failed; there is no need for one here.
@@ -151,7 +151,7 @@
         member.set_standing(HealthState.HEALTHY, now, "the slow start is over")
     else:
         return []
-    return [Change(member.target.key, old, member.standing, member.reason)]
+    return [Change(member.target.key, old, member.health, member.reason)]
 
 
 def note_trial(member, is_good, now, rng):
@@ -166,7 +166,7 @@
     Returns:
       A list of `Change`.
     """
-    if member.standing is not HealthState.TRIAL:
+    if member.health is not HealthState.TRIAL:
         return []
     if is_good:
         member.trials += 1
@@ -191,21 +191,21 @@
     out = [
         member
         for member in pool.members.values()
-        if member.standing in (HealthState.EJECTED, HealthState.TRIAL)
+        if member.health in (HealthState.EJECTED, HealthState.TRIAL)
     ]
     out.sort(key=lambda member: (member.ejections, member.target.key), reverse=True)
     changes = []
     while out and count_in(pool) < floor_of(pool):
         member = out.pop()
-        old = member.standing
+        old = member.health
         evidence.clear(member.target.key)
         member.set_standing(HealthState.SLOW_START, now, "the floor needs it")
-        changes.append(Change(member.target.key, old, member.standing, member.reason))
+        changes.append(Change(member.target.key, old, member.health, member.reason))
     return changes
 
 
 def _is_in(member):
-    return member.standing in (HealthState.HEALTHY, HealthState.SLOW_START)
+    return member.health in (HealthState.HEALTHY, HealthState.SLOW_START)
 
 
 def count_in(pool):
@@ -215,15 +215,13 @@
 
 def count_warm(pool):
     """Return how many targets are in and past their slow start."""
-    return sum(
-        member.standing is HealthState.HEALTHY for member in pool.members.values()
-    )
+    return sum(member.health is HealthState.HEALTHY for member in pool.members.values())
 
 
 def floor_of(pool):
     """Return the floor, or the number of targets that stay if they are fewer."""
     staying = sum(
-        member.standing is not HealthState.DRAINING for member in pool.members.values()
+        member.health is not HealthState.DRAINING for member in pool.members.values()
     )
     return min(pool.service.floor, staying)
 
@@ -241,14 +239,14 @@
     """
     changes = []
     for key, member in pool.members.items():
-        old = member.standing
+        old = member.health
         if key in keys and old is not HealthState.DRAINING:
             member.set_standing(HealthState.DRAINING, now, "the target is leaving")
         elif key not in keys and old is HealthState.DRAINING:
             member.set_standing(HealthState.SLOW_START, now, "the target stays")
         else:
             continue
-        changes.append(Change(key, old, member.standing, member.reason))
+        changes.append(Change(key, old, member.health, member.reason))
     return changes
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
@@ -84,7 +84,7 @@
         )
 
     def standing(self, number):
-        return self.pool.members[self.keys[number]].standing
+        return self.pool.members[self.keys[number]].health
 
 
 def test_target_that_fails_for_several_hosts_is_ejected():
@@ -149,7 +149,7 @@
             bench.tell(reporter, bench.keys[0], 2.0, good=5)
     assert bench.review(2.1) == []
     member = bench.pool.members[bench.keys[0]]
-    assert (member.standing, member.is_avoided) == (HealthState.HEALTHY, True)
+    assert (member.health, member.is_avoided) == (HealthState.HEALTHY, True)
     for _ in range(50):
         chosen = bench.pool.choose(RequestKind.IDEMPOTENT, 2.2, bench.rng)
         assert chosen is not member
@@ -219,16 +219,16 @@
         bench.review(now + 1.1)
         bench.review(now + 2.2)
         member = bench.pool.members[bench.keys[0]]
-        assert member.standing is HealthState.EJECTED
+        assert member.health is HealthState.EJECTED
         pauses.append(member.until - member.since)
         now = member.until + 0.1
         bench.review(now)
-        assert member.standing is HealthState.TRIAL
+        assert member.health is HealthState.TRIAL
         for _ in range(3):
             note_trial(member, True, now, bench.rng)
         bench.review(now)
         bench.review(now + 10.1)
-        assert member.standing is HealthState.HEALTHY
+        assert member.health is HealthState.HEALTHY
         now += 10.2
     assert pauses == sorted(pauses)
     assert pauses[-1] > 4 * pauses[0]
@@ -277,7 +277,7 @@
     service = bench.service._replace(targets=(fresh, *bench.service.targets[1:]))
     bench.pool.update(service, 4, 3.0)
     assert bench.evidence.score(fresh.key, 3.0).total == 0
-    assert bench.pool.members[fresh.key].standing is HealthState.SLOW_START
+    assert bench.pool.members[fresh.key].health is HealthState.SLOW_START
 
 
 ACTIONS = st.lists(
--- a/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
@@ -31,7 +31,7 @@
         self.shed_at = -math.inf
         self.sheds = 0
         self.freed_at = -math.inf
-        self.standing = HealthState.HEALTHY
+        self.health = HealthState.HEALTHY
         self.is_avoided = False
         self.since = -math.inf
         self.until = -math.inf
@@ -41,7 +41,7 @@
 
     def set_standing(self, standing, now, reason):
         """Change the standing and keep when and why, for `explain`."""
-        self.standing = standing
+        self.health = standing
         self.since = now
         self.reason = reason
 
@@ -51,7 +51,7 @@
 
     def allowance(self, now):
         """Return how many requests this host may have at the target by now."""
-        if self.standing is HealthState.SLOW_START:
+        if self.health is HealthState.SLOW_START:
             share = min(1.0, (now - self.since) / SLOW_START_FOR)
             return max(1, math.floor(self.limit * share))
         return self.limit
@@ -118,10 +118,10 @@
             if member.target.key not in tried and _may_take(member, kind, now)
         ]
         if kind is RequestKind.ORDER and self._has_good():
-            usable = [m for m in usable if m.standing is HealthState.HEALTHY]
+            usable = [m for m in usable if m.health is HealthState.HEALTHY]
         usable = _prefer(usable, lambda member: not member.is_avoided)
         if kind is RequestKind.IDEMPOTENT:
-            trials = [m for m in usable if m.standing is HealthState.TRIAL]
+            trials = [m for m in usable if m.health is HealthState.TRIAL]
             if trials:
                 return rng.choice(trials)
         if not usable:
@@ -134,7 +134,7 @@
 
     def _has_good(self):
         """Return whether any target is in good standing, busy or not."""
-        return any(m.standing is HealthState.HEALTHY for m in self.members.values())
+        return any(m.health is HealthState.HEALTHY for m in self.members.values())
 
     def is_contended(self, now):
         """Return whether a target has shed a request of this host's lately."""
@@ -143,21 +143,21 @@
     def good_keys(self):
         """Return the keys of the targets in good standing."""
         return [
-            key for key, m in self.members.items() if m.standing is HealthState.HEALTHY
+            key for key, m in self.members.items() if m.health is HealthState.HEALTHY
         ]
 
     def has_trial(self, now):
         """Return whether a target waits to be tried out."""
         kind = RequestKind.IDEMPOTENT
         return any(
-            member.standing is HealthState.TRIAL and _may_take(member, kind, now)
+            member.health is HealthState.TRIAL and _may_take(member, kind, now)
             for member in self.members.values()
         )
 
     def is_worth_waiting(self, tried=()):
         """Return whether a target may become free that could take a request."""
         return any(
-            member.standing not in (HealthState.EJECTED, HealthState.DRAINING)
+            member.health not in (HealthState.EJECTED, HealthState.DRAINING)
             for key, member in self.members.items()
             if key not in tried
         )
@@ -191,9 +191,9 @@
 
 def _may_take(member, kind, now):
     """Return whether a target may be given a request of this kind now."""
-    if member.standing in (HealthState.EJECTED, HealthState.DRAINING):
+    if member.health in (HealthState.EJECTED, HealthState.DRAINING):
         return False
-    if member.standing is HealthState.TRIAL:
+    if member.health is HealthState.TRIAL:
         # A stalled target sheds its trials; tried at once again by every request,
         # it would get more tries than all others together.
         is_rested = now - member.shed_at >= TRIAL_PAUSE
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/waiting.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/waiting.py
@@ -96,7 +96,7 @@
         if slot is None:
             return None
         member = self.pool.members.get(slot.target)
-        is_good = member is not None and member.standing is HealthState.HEALTHY
+        is_good = member is not None and member.health is HealthState.HEALTHY
         if not is_good or slot.target in tried:
             slot.give_back(False)
             return None
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/admin.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/admin.py
@@ -113,7 +113,7 @@
         "fails_alike": state.pool.has_common_failure,
         "targets": {
             member.target.id: {
-                "standing": member.standing.value,
+                "standing": member.health.value,
                 "avoided": member.is_avoided,
                 "in_flight": member.in_flight,
                 "score": round(state.evidence.score(key, now).total, 2),
@@ -142,7 +142,7 @@
         "target": member.target.id,
         "address": member.target.address,
         "service": state.service.name,
-        "standing": member.standing.value,
+        "standing": member.health.value,
         "why": member.reason or "nothing was held against it",
         "avoided_by_this_host": member.is_avoided,
         "back_off_left": round(max(0.0, member.until - now), 1),
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/probes.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/probes.py
@@ -26,7 +26,7 @@
         if state.service.probe_path is None:
             continue
         for member in state.pool.members.values():
-            if member.standing is HealthState.TRIAL and member.in_flight == 0:
+            if member.health is HealthState.TRIAL and member.in_flight == 0:
                 state.pool.take(member)
                 host.spawn(_probe(host, state, member, now))
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -57,7 +57,7 @@
 
     def start(self, begun, now):
         """Note a try, and return when it is to be given up, or None."""
-        begun.is_trial = self.pool.members[begun.target].standing is HealthState.TRIAL
+        begun.is_trial = self.pool.members[begun.target].health is HealthState.TRIAL
         self.tries.add(begun)
         overdue_after = self.latency.overdue_after()
         is_last = len(begun.request.tried) + 1 >= TRIES_MOST
@@ -128,7 +128,7 @@
     def keys_in(self, now):
         """Return the targets that get ordinary work."""
         out = (HealthState.EJECTED, HealthState.TRIAL, HealthState.DRAINING)
-        return {k for k, m in self.pool.members.items() if m.standing not in out}
+        return {k for k, m in self.pool.members.items() if m.health not in out}
 
     def is_contended(self, now):
         """Return whether this host has seen a shed lately."""
