--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
@@ -122,7 +122,7 @@
         member.ejections = 0
     pause = min(BACK_OFF_MOST, BACK_OFF * 2**member.ejections)
     member.ejections += 1
-    member.set_standing(HealthState.EJECTED, now, reason)
+    member.set_health(HealthState.EJECTED, now, reason)
     member.until = now + pause * rng.uniform(1.0, 1.5)
     member.trials = 0
     return Change(member.target.key, old, member.health, reason)
@@ -143,12 +143,12 @@
             return []
         member.trials = 0
         evidence.clear(member.target.key)
-        member.set_standing(HealthState.TRIAL, now, "the back-off is over")
+        member.set_health(HealthState.TRIAL, now, "the back-off is over")
     elif old is HealthState.TRIAL and member.trials >= TRIALS_NEEDED:
         evidence.clear(member.target.key)
-        member.set_standing(HealthState.SLOW_START, now, f"{TRIALS_NEEDED} good trials")
+        member.set_health(HealthState.SLOW_START, now, f"{TRIALS_NEEDED} good trials")
     elif old is HealthState.SLOW_START and now - member.since >= SLOW_START_FOR:
-        member.set_standing(HealthState.HEALTHY, now, "the slow start is over")
+        member.set_health(HealthState.HEALTHY, now, "the slow start is over")
     else:
         return []
     return [Change(member.target.key, old, member.health, member.reason)]
@@ -199,7 +199,7 @@
         member = out.pop()
         old = member.health
         evidence.clear(member.target.key)
-        member.set_standing(HealthState.SLOW_START, now, "the floor needs it")
+        member.set_health(HealthState.SLOW_START, now, "the floor needs it")
         changes.append(Change(member.target.key, old, member.health, member.reason))
     return changes
 
@@ -241,9 +241,9 @@
     for key, member in pool.members.items():
         old = member.health
         if key in keys and old is not HealthState.DRAINING:
-            member.set_standing(HealthState.DRAINING, now, "the target is leaving")
+            member.set_health(HealthState.DRAINING, now, "the target is leaving")
         elif key not in keys and old is HealthState.DRAINING:
-            member.set_standing(HealthState.SLOW_START, now, "the target stays")
+            member.set_health(HealthState.SLOW_START, now, "the target stays")
         else:
             continue
         changes.append(Change(key, old, member.health, member.reason))
--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
@@ -237,7 +237,7 @@
 def test_trial_takes_one_idempotent_request_at_a_time_and_no_order():
     bench = Bench()
     member = bench.pool.members[bench.keys[0]]
-    member.set_standing(HealthState.TRIAL, 1.0, "")
+    member.set_health(HealthState.TRIAL, 1.0, "")
     assert bench.pool.choose(RequestKind.IDEMPOTENT, 2.0, bench.rng) is member
     bench.pool.take(member)
     for kind in RequestKind:
@@ -247,7 +247,7 @@
 def test_orders_go_only_to_targets_in_good_standing():
     bench = Bench()
     for key in bench.keys[:3]:
-        bench.pool.members[key].set_standing(HealthState.SLOW_START, 1.0, "")
+        bench.pool.members[key].set_health(HealthState.SLOW_START, 1.0, "")
     for _ in range(20):
         chosen = bench.pool.choose(RequestKind.ORDER, 2.0, bench.rng)
         assert chosen.target.key == bench.keys[3]
--- a/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
@@ -39,7 +39,7 @@
         self.trials = 0
         self.reason = ""
 
-    def set_standing(self, standing, now, reason):
+    def set_health(self, standing, now, reason):
         """Change the standing and keep when and why, for `explain`."""
         self.health = standing
         self.since = now
@@ -94,7 +94,7 @@
             if member is None:
                 member = Member(target, limit)
                 if not is_first:
-                    member.set_standing(HealthState.SLOW_START, now, "it is new")
+                    member.set_health(HealthState.SLOW_START, now, "it is new")
             member.target = target
             member.limit = limit
             fresh[target.key] = member
