--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
@@ -123,7 +123,7 @@
     pause = min(BACK_OFF_MOST, BACK_OFF * 2**member.ejections)
     member.ejections += 1
     member.set_health(HealthState.EJECTED, now, reason)
-    member.until = now + pause * rng.uniform(1.0, 1.5)
+    member.ejected_until = now + pause * rng.uniform(1.0, 1.5)
     member.trials = 0
     return Change(member.target.key, old, member.health, reason)
 
@@ -133,13 +133,13 @@
     view = evidence.views.get(member.target.key)
     old = member.health
     if old is HealthState.EJECTED:
-        if view and view.bad_at > member.since and not math.isinf(member.until):
+        if view and view.bad_at > member.since and not math.isinf(member.ejected_until):
             # Another host's trial has just failed; there is no need for one here.
             pause = BACK_OFF * 2 ** min(member.ejections, 6)
             bound = view.bad_at + min(BACK_OFF_MOST, pause) * rng.uniform(0.8, 1.0)
-            member.until = max(member.until, bound)
+            member.ejected_until = max(member.ejected_until, bound)
             member.since = view.bad_at
-        if now < member.until:
+        if now < member.ejected_until:
             return []
         member.trials = 0
         evidence.clear(member.target.key)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
@@ -220,8 +220,8 @@
         bench.review(now + 2.2)
         member = bench.pool.members[bench.keys[0]]
         assert member.health is HealthState.EJECTED
-        pauses.append(member.until - member.since)
-        now = member.until + 0.1
+        pauses.append(member.ejected_until - member.since)
+        now = member.ejected_until + 0.1
         bench.review(now)
         assert member.health is HealthState.TRIAL
         for _ in range(3):
--- a/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
@@ -34,7 +34,7 @@
         self.health = HealthState.HEALTHY
         self.is_avoided = False
         self.since = -math.inf
-        self.until = -math.inf
+        self.ejected_until = -math.inf
         self.ejections = 0
         self.trials = 0
         self.reason = ""
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/admin.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/admin.py
@@ -145,7 +145,7 @@
         "standing": member.health.value,
         "why": member.reason or "nothing was held against it",
         "avoided_by_this_host": member.is_avoided,
-        "back_off_left": round(max(0.0, member.until - now), 1),
+        "back_off_left": round(max(0.0, member.ejected_until - now), 1),
         "ejections": member.ejections,
         "score": score._asdict(),
         "service_fails_alike": state.pool.has_common_failure,
