--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
@@ -239,7 +239,7 @@
     member = bench.pool.members[bench.keys[0]]
     member.set_health(HealthState.TRIAL, 1.0, "")
     assert bench.pool.choose(RequestKind.IDEMPOTENT, 2.0, bench.rng) is member
-    bench.pool.take(member)
+    bench.pool.acquire(member)
     for kind in RequestKind:
         assert bench.pool.choose(kind, 2.0, bench.rng) is not member
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
@@ -162,7 +162,7 @@
             if key not in tried
         )
 
-    def take(self, member):
+    def acquire(self, member):
         """Count a try that starts."""
         member.in_flight += 1
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/waiting.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/waiting.py
@@ -100,7 +100,7 @@
         if not is_good or slot.target in tried:
             slot.give_back(False)
             return None
-        self.pool.take(member)
+        self.pool.acquire(member)
         self._grants.setdefault(slot.target, []).append(slot)
         return member
 
@@ -126,7 +126,7 @@
     def _choose(self, kind, now, tried):
         member = self.pool.choose(kind, now, self._rng, tried)
         if member:
-            self.pool.take(member)
+            self.pool.acquire(member)
         return member
 
     def release(self, member, is_shed=False):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/probes.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/probes.py
@@ -27,7 +27,7 @@
             continue
         for member in state.pool.members.values():
             if member.health is HealthState.TRIAL and member.in_flight == 0:
-                state.pool.take(member)
+                state.pool.acquire(member)
                 host.spawn(_probe(host, state, member, now))
 
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -52,7 +52,7 @@
         member = self.pool.choose(KIND, now, self.rng, tried)
         if member is None:
             return None
-        self.pool.take(member)
+        self.pool.acquire(member)
         return member.target.key
 
     def start(self, begun, now):
@@ -136,7 +136,7 @@
 
     def take(self, key):
         """Take a slot that the keeper has granted."""
-        self.pool.take(self.pool.members[key])
+        self.pool.acquire(self.pool.members[key])
 
     def note_request(self):
         """Count a request."""
