--- a/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
@@ -166,7 +166,7 @@
         """Count a try that starts."""
         member.in_flight += 1
 
-    def free(self, member, now, is_shed=False):
+    def release(self, member, now, is_shed=False):
         """Count a try that ended, and whether the target shed it."""
         member.in_flight -= 1
         assert member.in_flight >= 0, "a slot was freed twice"
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/waiting.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/waiting.py
@@ -131,7 +131,7 @@
 
     def release(self, member, is_shed=False):
         """Free a slot, and wake whoever waits for one."""
-        self.pool.free(member, asyncio.get_running_loop().time(), is_shed)
+        self.pool.release(member, asyncio.get_running_loop().time(), is_shed)
         granted = self._grants.get(member.target.key)
         if granted:
             # One slot at a target is as good as another; only the count matters.
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -70,7 +70,7 @@
     def end(self, ended, trouble, now):
         """Take the end of a try and return whether another may follow."""
         self.tries.discard(ended)
-        self.pool.free(
+        self.pool.release(
             self.pool.members[ended.target], now, trouble is FailureKind.SHED
         )
         seconds = now - ended.started
