--- a/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
@@ -140,7 +140,7 @@
         """Return whether a target has shed a request of this host's lately."""
         return now - self.shed_at < CONTENDED_FOR
 
-    def good_keys(self):
+    def healthy_keys(self):
         """Return the keys of the targets in good standing."""
         return [
             key for key, m in self.members.items() if m.health is HealthState.HEALTHY
