--- a/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
@@ -15,7 +15,7 @@
 SHED_PAUSE = 0.015
 SHED_PAUSE_GROWTH = 2.0
 SHED_PAUSE_MOST = 0.24
-CONTENDED_FOR = 1.0
+CONTENTION_WINDOW = 1.0
 TRIALS_NEEDED = 3
 TRIAL_PAUSE = 1.0
 SLOW_START_FOR = 10.0
@@ -138,7 +138,7 @@
 
     def is_contended(self, now):
         """Return whether a target has shed a request of this host's lately."""
-        return now - self.shed_at < CONTENDED_FOR
+        return now - self.shed_at < CONTENTION_WINDOW
 
     def healthy_keys(self):
         """Return the keys of the targets in good standing."""
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -18,7 +18,7 @@
 from plumsaddle_core.ops.ejection import note_trial, review, suspects_itself
 from plumsaddle_core.ops.evidence import Evidence
 from plumsaddle_core.ops.latency import Latency
-from plumsaddle_core.ops.pool import CONTENDED_FOR, Pool
+from plumsaddle_core.ops.pool import CONTENTION_WINDOW, Pool
 from plumsaddle_core.ops.signs import sign_of_age, sign_of_end
 
 KIND = RequestKind.IDEMPOTENT
@@ -132,7 +132,7 @@
 
     def is_contended(self, now):
         """Return whether this host has seen a shed lately."""
-        return now - self.pool.shed_at < CONTENDED_FOR
+        return now - self.pool.shed_at < CONTENTION_WINDOW
 
     def take(self, key):
         """Take a slot that the keeper has granted."""
