--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
@@ -34,7 +34,7 @@
     reason: str
 
 
-def review(pool, evidence, now, rng, is_dependency_failing, is_suspect_itself):
+def update_health(pool, evidence, now, rng, is_dependency_failing, is_suspect_itself):
     """
     Bring the standing of a service's targets up to date.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
@@ -24,7 +24,7 @@
     floor_of,
     keep_floor,
     note_trial,
-    review,
+    update_health,
     set_leaving,
     suspects_itself,
 )
@@ -74,7 +74,7 @@
                     self.tell(reporter, key, now, good=1)
 
     def review(self, now, is_dependency_failing=False, is_suspect_itself=False):
-        return review(
+        return update_health(
             self.pool,
             self.evidence,
             now,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
@@ -16,7 +16,7 @@
 from returns.result import Failure, Success
 
 from plumsaddle_core.core.ids import Incarnation
-from plumsaddle_core.ops.ejection import review, set_leaving, suspects_itself
+from plumsaddle_core.ops.ejection import update_health, set_leaving, suspects_itself
 from plumsaddle_core.ops.marks import LISTED_FOR, OWN_WORD_FOR, Marks
 from plumsaddle_core.ops.members import Member, Members
 from plumsaddle_core.ops.routing import build_routes
@@ -317,7 +317,7 @@
         self._set_leaving(now)
         failing = {s.service.name for s in states if s.pool.has_common_failure}
         for state in states:
-            changes = review(
+            changes = update_health(
                 state.pool,
                 state.evidence,
                 now,
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -15,7 +15,7 @@
     RequestKind,
 )
 from plumsaddle_core.ops.budget import HostRetryBudget
-from plumsaddle_core.ops.ejection import note_trial, review, suspects_itself
+from plumsaddle_core.ops.ejection import note_trial, update_health, suspects_itself
 from plumsaddle_core.ops.evidence import Evidence
 from plumsaddle_core.ops.latency import Latency
 from plumsaddle_core.ops.pool import CONTENTION_WINDOW, Pool
@@ -106,7 +106,7 @@
     def review(self, now):
         """Bring the standings up to date."""
         is_bad = suspects_itself([(self.pool, self.evidence)], now)
-        changes = review(self.pool, self.evidence, now, self.rng, False, is_bad)
+        changes = update_health(self.pool, self.evidence, now, self.rng, False, is_bad)
         self._keep(changes, now)
 
     def _keep(self, changes, now):
