--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
@@ -226,7 +226,7 @@
     return min(pool.service.floor, staying)
 
 
-def set_leaving(pool, keys, now):
+def set_draining(pool, keys, now):
     """
     Give no new work to targets that leave, and take back those that stay after all.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
@@ -25,7 +25,7 @@
     keep_floor,
     note_trial,
     update_health,
-    set_leaving,
+    set_draining,
     suspects_itself,
 )
 from .evidence import Evidence, EvidenceRow
@@ -264,8 +264,8 @@
         bench.review(2.1)
         bench.review(3.2)
     assert count_in(bench.pool) == 3
-    set_leaving(bench.pool, {bench.keys[2]}, 4.0)
-    set_leaving(bench.pool, {bench.keys[2], bench.keys[3]}, 4.0)
+    set_draining(bench.pool, {bench.keys[2]}, 4.0)
+    set_draining(bench.pool, {bench.keys[2], bench.keys[3]}, 4.0)
     keep_floor(bench.pool, bench.evidence, 4.1)
     assert count_in(bench.pool) == 2
 
@@ -317,7 +317,7 @@
             note_trial(bench.pool.members[key], number % 2, now, bench.rng)
         else:
             now += seconds
-        set_leaving(bench.pool, leaving, now)
+        set_draining(bench.pool, leaving, now)
         bench.review(now)
         now += 1.1
         before = count_warm(bench.pool)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
@@ -16,7 +16,7 @@
 from returns.result import Failure, Success
 
 from plumsaddle_core.core.ids import Incarnation
-from plumsaddle_core.ops.ejection import update_health, set_leaving, suspects_itself
+from plumsaddle_core.ops.ejection import update_health, set_draining, suspects_itself
 from plumsaddle_core.ops.marks import LISTED_FOR, OWN_WORD_FOR, Marks
 from plumsaddle_core.ops.members import Member, Members
 from plumsaddle_core.ops.routing import build_routes
@@ -307,7 +307,7 @@
         marked = self.marks.targets(now)
         for state in self.services.values():
             named = {t.key for t in state.service.targets if t.leaving}
-            self._note_changes(state, set_leaving(state.pool, marked | named, now))
+            self._note_changes(state, set_draining(state.pool, marked | named, now))
 
     def _review(self, now):
         states = list(self.services.values())
