--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
@@ -154,7 +154,7 @@
     return [Change(member.target.key, old, member.health, member.reason)]
 
 
-def note_trial(member, is_good, now, rng):
+def note_trial_result(member, is_good, now, rng):
     """
     Take the result of a trial.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
@@ -23,7 +23,7 @@
     count_warm,
     floor_of,
     keep_floor,
-    note_trial,
+    note_trial_result,
     update_health,
     set_draining,
     suspects_itself,
@@ -225,7 +225,7 @@
         bench.review(now)
         assert member.health is HealthState.TRIAL
         for _ in range(3):
-            note_trial(member, True, now, bench.rng)
+            note_trial_result(member, True, now, bench.rng)
         bench.review(now)
         bench.review(now + 10.1)
         assert member.health is HealthState.HEALTHY
@@ -314,7 +314,7 @@
         elif action == "stay":
             leaving.discard(key)
         elif action == "trial":
-            note_trial(bench.pool.members[key], number % 2, now, bench.rng)
+            note_trial_result(bench.pool.members[key], number % 2, now, bench.rng)
         else:
             now += seconds
         set_draining(bench.pool, leaving, now)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
@@ -9,7 +9,7 @@
 
 from plumsaddle_core.core.data import FailureKind, HealthSignal, RequestKind
 from plumsaddle_core.ops.budget import HostRetryBudget
-from plumsaddle_core.ops.ejection import note_trial
+from plumsaddle_core.ops.ejection import note_trial_result
 from plumsaddle_core.ops.evidence import Evidence
 from plumsaddle_core.ops.latency import Latency
 from plumsaddle_core.ops.pool import Pool
@@ -123,4 +123,4 @@
             self.evidence.note_signal(key, sign, now)
             if sign is not HealthSignal.GOOD and self.evidence.is_suspect(key, now):
                 self._has_bad_news = True
-            note_trial(noted.member, sign is HealthSignal.GOOD, now, self._rng)
+            note_trial_result(noted.member, sign is HealthSignal.GOOD, now, self._rng)
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -15,7 +15,11 @@
     RequestKind,
 )
 from plumsaddle_core.ops.budget import HostRetryBudget
-from plumsaddle_core.ops.ejection import note_trial, update_health, suspects_itself
+from plumsaddle_core.ops.ejection import (
+    note_trial_result,
+    update_health,
+    suspects_itself,
+)
 from plumsaddle_core.ops.evidence import Evidence
 from plumsaddle_core.ops.latency import Latency
 from plumsaddle_core.ops.pool import CONTENTION_WINDOW, Pool
@@ -94,7 +98,9 @@
         ):
             self.is_urgent = True
         member = self.pool.members[noted.target]
-        self._keep(note_trial(member, sign is HealthSignal.GOOD, now, self.rng), now)
+        self._keep(
+            note_trial_result(member, sign is HealthSignal.GOOD, now, self.rng), now
+        )
 
     def watch(self, now):
         """Let overdue tries give their signs."""
