--- a/packages/plumsaddle-core/plumsaddle_core/ops/signs.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/signs.py
@@ -19,7 +19,7 @@
 BLAMELESS = {FailureKind.SHED, FailureKind.CALLER}
 
 
-def sign_of_end(kind, trouble, seconds, latency):
+def signal_of_result(kind, trouble, seconds, latency):
     """
     Return what the end of a try says.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
@@ -13,7 +13,7 @@
 from plumsaddle_core.ops.evidence import Evidence
 from plumsaddle_core.ops.latency import Latency
 from plumsaddle_core.ops.pool import Pool
-from plumsaddle_core.ops.signs import sign_of_age, sign_of_end
+from plumsaddle_core.ops.signs import sign_of_age, signal_of_result
 
 from .waiting import WaitingRoom
 
@@ -83,7 +83,7 @@
         latency = self.latencies[ended.kind]
         if trouble is None and ended.kind is not RequestKind.UPLOAD:
             latency.note_latency(seconds)
-        sign = sign_of_end(ended.kind, trouble, seconds, latency)
+        sign = signal_of_result(ended.kind, trouble, seconds, latency)
         if sign is not None and sign is not ended.sign:
             self._note(ended, sign, now)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/probes_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/probes_test.py
@@ -3,7 +3,7 @@
 import random
 
 from plumsaddle_core.core.data import HealthSignal, RequestKind, Service, Target
-from plumsaddle_core.ops.signs import sign_of_end
+from plumsaddle_core.ops.signs import signal_of_result
 
 from ..back.services import ServiceState
 from .probes import reference_kind
@@ -31,7 +31,7 @@
         state.latencies[RequestKind.ORDER].note_latency(0.02)
         state.latencies[RequestKind.IDEMPOTENT].note_latency(0.2)
     kind = reference_kind(state)
-    assert sign_of_end(kind, None, 0.2, state.latencies[kind]) is HealthSignal.SLOW
+    assert signal_of_result(kind, None, 0.2, state.latencies[kind]) is HealthSignal.SLOW
 
 
 def test_probe_of_a_service_without_latencies_counts_as_a_lookup():
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -23,7 +23,7 @@
 from plumsaddle_core.ops.evidence import Evidence
 from plumsaddle_core.ops.latency import Latency
 from plumsaddle_core.ops.pool import CONTENTION_WINDOW, Pool
-from plumsaddle_core.ops.signs import sign_of_age, sign_of_end
+from plumsaddle_core.ops.signs import sign_of_age, signal_of_result
 
 KIND = RequestKind.IDEMPOTENT
 TRIES_MOST = 3
@@ -80,7 +80,7 @@
         seconds = now - ended.started
         if trouble is None:
             self.latency.note_latency(seconds)
-        sign = sign_of_end(KIND, trouble, seconds, self.latency)
+        sign = signal_of_result(KIND, trouble, seconds, self.latency)
         if sign is not None and sign is not ended.sign:
             self._note(ended, sign, now)
         if trouble in (None, FailureKind.SHED):
