--- a/packages/plumsaddle-core/plumsaddle_core/ops/signs.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/signs.py
@@ -36,11 +36,11 @@
     if trouble in BLAMED:
         return HealthSignal.FAILED
     if trouble is FailureKind.DEADLINE:
-        return sign_of_age(kind, seconds, latency)
+        return signal_of_age(kind, seconds, latency)
     return HealthSignal.SLOW if _is_slow(kind, seconds, latency) else HealthSignal.GOOD
 
 
-def sign_of_age(kind, seconds, latency):
+def signal_of_age(kind, seconds, latency):
     """
     Return what the age of an unfinished try says.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
@@ -13,7 +13,7 @@
 from plumsaddle_core.ops.evidence import Evidence
 from plumsaddle_core.ops.latency import Latency
 from plumsaddle_core.ops.pool import Pool
-from plumsaddle_core.ops.signs import sign_of_age, signal_of_result
+from plumsaddle_core.ops.signs import signal_of_age, signal_of_result
 
 from .waiting import WaitingRoom
 
@@ -109,7 +109,7 @@
         """Let overdue tries give their signs before they end."""
         for running in self.tries:
             latency = self.latencies[running.kind]
-            sign = sign_of_age(running.kind, now - running.started, latency)
+            sign = signal_of_age(running.kind, now - running.started, latency)
             if sign is not None and sign is not running.sign:
                 self._note(running, sign, now)
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -23,7 +23,7 @@
 from plumsaddle_core.ops.evidence import Evidence
 from plumsaddle_core.ops.latency import Latency
 from plumsaddle_core.ops.pool import CONTENTION_WINDOW, Pool
-from plumsaddle_core.ops.signs import sign_of_age, signal_of_result
+from plumsaddle_core.ops.signs import signal_of_age, signal_of_result
 
 KIND = RequestKind.IDEMPOTENT
 TRIES_MOST = 3
@@ -105,7 +105,7 @@
     def watch(self, now):
         """Let overdue tries give their signs."""
         for running in self.tries:
-            sign = sign_of_age(KIND, now - running.started, self.latency)
+            sign = signal_of_age(KIND, now - running.started, self.latency)
             if sign is not None and sign is not running.sign:
                 self._note(running, sign, now)
 
