--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
@@ -24,9 +24,9 @@
     floor_of,
     keep_floor,
     note_trial_result,
-    update_health,
     set_draining,
     suspects_itself,
+    update_health,
 )
 from .evidence import Evidence, EvidenceRow
 from .pool import Pool
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
@@ -16,7 +16,7 @@
 from returns.result import Failure, Success
 
 from plumsaddle_core.core.ids import Incarnation
-from plumsaddle_core.ops.ejection import update_health, set_draining, suspects_itself
+from plumsaddle_core.ops.ejection import set_draining, suspects_itself, update_health
 from plumsaddle_core.ops.marks import LISTED_FOR, OWN_WORD_FOR, Marks
 from plumsaddle_core.ops.members import Member, Members
 from plumsaddle_core.ops.routing import build_routes
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -17,8 +17,8 @@
 from plumsaddle_core.ops.budget import HostRetryBudget
 from plumsaddle_core.ops.ejection import (
     note_trial_result,
-    update_health,
     suspects_itself,
+    update_health,
 )
 from plumsaddle_core.ops.evidence import Evidence
 from plumsaddle_core.ops.latency import Latency
