--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
@@ -28,7 +28,7 @@
     suspects_itself,
     update_health,
 )
-from .evidence import Evidence, EvidenceRow
+from .evidence import Evidence, Row
 from .pool import Pool
 
 OWN = "me@1"
@@ -59,7 +59,7 @@
     def tell(self, reporter, key, now, good=0, failed=0):
         old = self.counts.get((reporter, key), (0, 0))
         new = self.counts[reporter, key] = (old[0] + good, old[1] + failed)
-        return self.evidence.merge([EvidenceRow(reporter, key, new[0], 0, new[1])], now)
+        return self.evidence.merge([Row(reporter, key, new[0], 0, new[1])], now)
 
     def fail_everywhere(self, key, now, count=4):
         for _ in range(count):
@@ -203,7 +203,7 @@
     bench = Bench()
     bench.work_well(1.0)
     key = bench.keys[0]
-    rows = [EvidenceRow("b1@1", key, 20, 0, n) for n in (3, 1, 2, 3, 3)]
+    rows = [Row("b1@1", key, 20, 0, n) for n in (3, 1, 2, 3, 3)]
     bench.evidence.merge(rows[:1], 2.0)
     before = bench.evidence.score(key, 2.0)
     assert not bench.evidence.merge(rows[1:], 2.0)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
@@ -58,7 +58,7 @@
 NOTHING = Counts()
 
 
-class EvidenceRow(NamedTuple):
+class Row(NamedTuple):
     """The counts of one reporter for one target, as hosts tell each other."""
 
     reporter: Incarnation
@@ -197,7 +197,7 @@
         """
         counts = self._view(target).counts.get(self.own, NOTHING)
         grown = counts._replace(**{sign.value: getattr(counts, sign.value) + 1})
-        self._take(EvidenceRow(self.own, target, *grown), now)
+        self._take(Row(self.own, target, *grown), now)
 
     def merge(self, rows, now):
         """
@@ -422,7 +422,7 @@
                 if now - view.changed_at.get(reporter, -math.inf) < RECENT
             )
             for place, (at, reporter) in enumerate(newest):
-                row = EvidenceRow(reporter, target, *view.counts[reporter])
+                row = Row(reporter, target, *view.counts[reporter])
                 ranked.append((place, -score, at, row))
         ranked.sort()
         return [row for *_, row in ranked[:most]]
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/peers/messages.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/peers/messages.py
@@ -7,7 +7,7 @@
 
 from typing import NamedTuple
 
-from plumsaddle_core.ops.evidence import EvidenceRow
+from plumsaddle_core.ops.evidence import Row
 from plumsaddle_core.ops.marks import Mark
 from plumsaddle_core.ops.members import Member
 
@@ -58,9 +58,7 @@
     names = list(digest.names)
     count = len(names)
     rows = [
-        EvidenceRow(
-            names[row.reporter], names[row.target], row.good, row.slow, row.failed
-        )
+        Row(names[row.reporter], names[row.target], row.good, row.slow, row.failed)
         for row in digest.rows
         if row.reporter < count and row.target < count
     ]
--- a/packages/plumsaddle-standins/plumsaddle_standins/slopes.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/slopes.py
@@ -19,7 +19,7 @@
 from returns.result import Success
 
 from plumsaddle_core.core.data import DetectionTradeoff, HealthSignal
-from plumsaddle_core.ops.evidence import Evidence, EvidenceRow
+from plumsaddle_core.ops.evidence import Evidence, Row
 from plumsaddle_core.ops.fold import Checkpoint, Record
 from plumsaddle_core.ops.members import Member, Members
 from plumsaddle_core.ops.orders import Claim, Done, dump_orders, new_order_fold
@@ -103,7 +103,7 @@
     )
     for number in range(targets):
         evidence.note_signal(f"t-{number}", HealthSignal.GOOD, 1.0)
-        rows = [EvidenceRow(f"host-{h}@1", f"t-{number}", 5, 0, 0) for h in range(40)]
+        rows = [Row(f"host-{h}@1", f"t-{number}", 5, 0, 0) for h in range(40)]
         evidence.merge(rows, 1.0)
     return evidence
 
@@ -129,9 +129,7 @@
         news = News(
             list(make_members(members).rows.values()),
             [
-                EvidenceRow(
-                    f"host-{n % 40}@0193b5a0c1d2-{n % 40:08x}", f"t-{n // 40}", 9, 1, 1
-                )
+                Row(f"host-{n % 40}@0193b5a0c1d2-{n % 40:08x}", f"t-{n // 40}", 9, 1, 1)
                 for n in range(rows)
             ],
             [],
