--- a/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
@@ -397,7 +397,7 @@
         for target in set(self.views) - set(targets):
             del self.views[target]
 
-    def rows(self, now, most):
+    def rows_to_send(self, now, most):
         """
         Choose what to tell another host.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
@@ -246,7 +246,7 @@
         self.members.beat(number, self.is_leaving, self.is_suspect_itself)
         rows = []
         for state in self.services.values():
-            rows += state.evidence.rows(now, ROWS_MOST - len(rows))
+            rows += state.evidence.rows_to_send(now, ROWS_MOST - len(rows))
         return News(
             self.members.to_tell(now, MEMBERS_MOST),
             rows,
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -125,7 +125,7 @@
 
     def rows(self, now):
         """Return what to tell another host."""
-        return self.evidence.rows(now, ROWS_MOST)
+        return self.evidence.rows_to_send(now, ROWS_MOST)
 
     def merge(self, rows, now):
         """Take what another host tells."""
