--- a/packages/plumsaddle-core/plumsaddle_core/ops/marks.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/marks.py
@@ -53,7 +53,7 @@
         self._until = {key: at for key, at in self._until.items() if at > now}
         return set(self._until)
 
-    def to_tell(self, now, most):
+    def marks_to_send(self, now, most):
         """Return the marks to pass on, the longest-lasting first."""
         marks = [Mark(key, at - now) for key, at in self._until.items() if at > now]
         return sorted(marks, key=lambda mark: -mark.seconds)[:most]
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
@@ -250,7 +250,7 @@
         return News(
             self.members.to_tell(now, MEMBERS_MOST),
             rows,
-            self.marks.to_tell(now, MARKS_MOST),
+            self.marks.marks_to_send(now, MARKS_MOST),
         )
 
     def take_news(self, news):
