--- a/packages/plumsaddle-core/plumsaddle_core/ops/members.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/members.py
@@ -138,7 +138,7 @@
     def _is_near(self, row):
         return row.data_centre == self.own.data_centre
 
-    def to_tell(self, now, most):
+    def rows_to_send(self, now, most):
         """Return the rows to pass on, the own one first, then the newest."""
         alive = sorted(self.alive(now), key=lambda row: -self.heard[row.id])
         return [self.own, *alive[: most - 1]]
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
@@ -248,7 +248,7 @@
         for state in self.services.values():
             rows += state.evidence.rows_to_send(now, ROWS_MOST - len(rows))
         return News(
-            self.members.to_tell(now, MEMBERS_MOST),
+            self.members.rows_to_send(now, MEMBERS_MOST),
             rows,
             self.marks.marks_to_send(now, MARKS_MOST),
         )
