--- a/packages/plumsaddle-core/plumsaddle_core/ops/members.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/members.py
@@ -74,7 +74,7 @@
         """Take the platform's list: a dict from host id to address."""
         self.listed = {key: at for key, at in listed.items() if key != self.own.id}
 
-    def forget(self, now):
+    def evict_silent(self, now):
         """Drop hosts that have been silent for long."""
         for key in [key for key, at in self.heard.items() if now - at > FORGET_AFTER]:
             del self.rows[key]
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
@@ -236,7 +236,7 @@
     # The other hosts.
 
     def _exchange(self, now):
-        self.members.forget(now)
+        self.members.evict_silent(now)
         self.exchange.start_round(now)
 
     def tell_news(self):
