--- a/packages/plumsaddle-core/plumsaddle_core/ops/members.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/members.py
@@ -104,7 +104,7 @@
             return row.incarnation > incarnation
         return now - self.heard[row.id] > ALIVE_FOR
 
-    def centre_of(self, incarnation):
+    def data_centre_of(self, incarnation):
         """Return the data centre of a host's incarnation, or an empty text."""
         key = host_of(incarnation)
         row = self.own if key == self.own.id else self.rows.get(key)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
@@ -218,7 +218,7 @@
                     service,
                     cfg.hosts_max,
                     self.incarnation,
-                    self.members.centre_of,
+                    self.members.data_centre_of,
                     self.keeper_client.ask,
                     self.rng,
                 )
