--- a/packages/plumsaddle-core/plumsaddle_core/ops/members.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/members.py
@@ -110,7 +110,7 @@
         row = self.own if key == self.own.id else self.rows.get(key)
         return row.data_centre if row else DataCentre("")
 
-    def peers(self, rng, now, most, seeds):
+    def choose_peers(self, rng, now, most, seeds):
         """
         Choose whom to exchange with in this round.
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/peers/exchange.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/peers/exchange.py
@@ -96,7 +96,7 @@
 
     def start_round(self, now):
         """Swap digests with a few peers."""
-        addresses = self._host.members.peers(
+        addresses = self._host.members.choose_peers(
             self._host.rng, now, self._cfg.fanout, self._cfg.seeds
         )
         self._drop_channels(now)
