--- a/packages/plumsaddle-core/plumsaddle_core/ops/marks.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/marks.py
@@ -10,7 +10,7 @@
 
 from ..core.ids import TargetKey
 
-OWN_WORD_FOR = 300.0
+SELF_REPORT_TTL = 300.0
 LISTED_FOR = 60.0
 
 
@@ -45,7 +45,7 @@
         """
         current = self.targets(now)
         for mark in marks:
-            self.add(mark.target, min(mark.seconds, OWN_WORD_FOR), now)
+            self.add(mark.target, min(mark.seconds, SELF_REPORT_TTL), now)
         return any(mark.target not in current for mark in marks)
 
     def targets(self, now):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
@@ -17,7 +17,7 @@
 
 from plumsaddle_core.core.ids import Incarnation
 from plumsaddle_core.ops.ejection import set_draining, suspects_itself, update_health
-from plumsaddle_core.ops.marks import LISTED_FOR, OWN_WORD_FOR, Marks
+from plumsaddle_core.ops.marks import LISTED_FOR, SELF_REPORT_TTL, Marks
 from plumsaddle_core.ops.members import Member, Members
 from plumsaddle_core.ops.routing import build_routes
 from plumsaddle_core.ops.versions import new_version_fold
@@ -296,7 +296,7 @@
     def note_leaving(self, key):
         """Take a target's own word that it is leaving."""
         now = asyncio.get_running_loop().time()
-        self.marks.add(key, OWN_WORD_FOR, now)
+        self.marks.add(key, SELF_REPORT_TTL, now)
         self._set_leaving(now)
         self.exchange.start_urgent(now)
 
