--- a/packages/plumsaddle-core/plumsaddle_core/ops/marks.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/marks.py
@@ -11,7 +11,7 @@
 from ..core.ids import TargetKey
 
 SELF_REPORT_TTL = 300.0
-LISTED_FOR = 60.0
+LISTED_TTL = 60.0
 
 
 class Mark(NamedTuple):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
@@ -17,7 +17,7 @@
 
 from plumsaddle_core.core.ids import Incarnation
 from plumsaddle_core.ops.ejection import set_draining, suspects_itself, update_health
-from plumsaddle_core.ops.marks import LISTED_FOR, SELF_REPORT_TTL, Marks
+from plumsaddle_core.ops.marks import LISTED_TTL, SELF_REPORT_TTL, Marks
 from plumsaddle_core.ops.members import Member, Members
 from plumsaddle_core.ops.routing import build_routes
 from plumsaddle_core.ops.versions import new_version_fold
@@ -303,7 +303,7 @@
     def _set_leaving(self, now):
         """Bring the leaving targets up to date from all three sources."""
         for key in self.listed_leaving:
-            self.marks.add(key, LISTED_FOR, now)
+            self.marks.add(key, LISTED_TTL, now)
         marked = self.marks.targets(now)
         for state in self.services.values():
             named = {t.key for t in state.service.targets if t.leaving}
