--- a/packages/plumsaddle-core/plumsaddle_core/ops/marks.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/marks.py
@@ -21,7 +21,7 @@
     seconds: float
 
 
-class Marks:
+class DrainMarks:
     """The leaving targets known to one host."""
 
     def __init__(self):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
@@ -17,7 +17,7 @@
 
 from plumsaddle_core.core.ids import Incarnation
 from plumsaddle_core.ops.ejection import set_draining, suspects_itself, update_health
-from plumsaddle_core.ops.marks import LISTED_TTL, SELF_REPORT_TTL, Marks
+from plumsaddle_core.ops.marks import LISTED_TTL, SELF_REPORT_TTL, DrainMarks
 from plumsaddle_core.ops.members import Member, Members
 from plumsaddle_core.ops.routing import build_routes
 from plumsaddle_core.ops.versions import new_version_fold
@@ -84,7 +84,7 @@
         self.is_leaving = False
         self.is_stopping = False
         self.is_suspect_itself = False
-        self.marks = Marks()
+        self.marks = DrainMarks()
         self.listed_leaving = set()
         self.members = Members(self._own_member(), loop.time())
         self.exchange = Exchange(self, settings.peers)
