--- a/packages/plumsaddle-core/plumsaddle_core/ops/keeper.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/keeper.py
@@ -37,7 +37,7 @@
     ticket: Any
 
 
-class Keeper:
+class SlotAllocator:
     """
     The slots of one service, as its keeper counts them.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/keeper_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/keeper_test.py
@@ -1,12 +1,12 @@
 """Tests of the keeper of a service's slots."""
 
-from .keeper import GRANT_FOR, SHED_REST, Keeper, choose_keeper
+from .keeper import GRANT_FOR, SHED_REST, SlotAllocator, choose_keeper
 
 TARGETS = ["a", "b"]
 
 
 def test_no_target_gets_more_than_its_slots():
-    keeper = Keeper(2)
+    keeper = SlotAllocator(2)
     for ticket in range(6):
         keeper.ask(ticket, 10.0)
     grants = keeper.serve(TARGETS, 0.0)
@@ -17,7 +17,7 @@
 
 
 def test_earliest_deadline_first_and_late_ones_not_at_all():
-    keeper = Keeper(1)
+    keeper = SlotAllocator(1)
     for ticket, deadline in (("late", 1.0), ("far", 9.0), ("near", 5.0)):
         keeper.ask(ticket, deadline)
     assert [g.ticket for g in keeper.serve(TARGETS, 2.0)] == ["near", "far"]
@@ -30,7 +30,7 @@
     A host is killed with a grant in hand; or it is only slow, and gives the grant
     back when it has lapsed already.
     """
-    keeper = Keeper(1)
+    keeper = SlotAllocator(1)
     keeper.ask("first", 99.0)
     (grant,) = keeper.serve(["a"], 0.0)
     keeper.ask("second", 99.0)
@@ -42,7 +42,7 @@
 
 
 def test_target_that_sheds_rests_for_a_moment():
-    keeper = Keeper(1)
+    keeper = SlotAllocator(1)
     keeper.ask("first", 9.0)
     (grant,) = keeper.serve(["a"], 0.0)
     keeper.give_back(grant.number, 1.0, True)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/peers/keeping.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/peers/keeping.py
@@ -15,7 +15,7 @@
 
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 
-from plumsaddle_core.ops.keeper import Keeper, choose_keeper
+from plumsaddle_core.ops.keeper import SlotAllocator, choose_keeper
 
 from . import exchange_pb2 as pb
 
@@ -80,7 +80,7 @@
     def _keeper(self, service):
         keeper = self._keepers.get(service)
         if keeper is None:
-            keeper = self._keepers[service] = Keeper(1)
+            keeper = self._keepers[service] = SlotAllocator(1)
         state = self._host.services.get(service)
         if state is not None:
             keeper.slots = state.service.slots
--- a/packages/plumsaddle-standins/plumsaddle_standins/model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from plumsaddle_core.core.data import DetectionTradeoff, FailureKind, Service, Target
-from plumsaddle_core.ops.keeper import Keeper
+from plumsaddle_core.ops.keeper import SlotAllocator
 from plumsaddle_core.ops.pool import SHED_PAUSE
 
 from .model_hosts import TRIES_MOST
@@ -96,7 +96,7 @@
 
     def __init__(self, shape, make_host, seed, bad=frozenset(), has_keeper=False):
         self.bad = bad
-        self.keeper = Keeper(shape.slots) if has_keeper else None
+        self.keeper = SlotAllocator(shape.slots) if has_keeper else None
         self.messages = 0
         targets = tuple(
             Target(f"t-{n}", f"10.0.0.{n}:80", "x") for n in range(shape.targets)
