--- a/packages/plumsaddle-core/plumsaddle_core/ops/keeper.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/keeper.py
@@ -120,7 +120,7 @@
             self._busy[target] -= 1
 
 
-def choose_keeper(service, hosts):
+def choose_allocator(service, hosts):
     """
     Return the host that keeps a service's slots.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/keeper_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/keeper_test.py
@@ -1,6 +1,6 @@
 """Tests of the keeper of a service's slots."""
 
-from .keeper import GRANT_FOR, SHED_REST, SlotAllocator, choose_keeper
+from .keeper import GRANT_FOR, SHED_REST, SlotAllocator, choose_allocator
 
 TARGETS = ["a", "b"]
 
@@ -54,8 +54,8 @@
 def test_only_the_services_of_a_host_that_goes_move():
     hosts = [f"h{n}" for n in range(10)]
     services = [f"s{n}" for n in range(200)]
-    before = {s: choose_keeper(s, hosts) for s in services}
-    after = {s: choose_keeper(s, hosts[1:]) for s in services}
+    before = {s: choose_allocator(s, hosts) for s in services}
+    after = {s: choose_allocator(s, hosts[1:]) for s in services}
     moved = [s for s in services if before[s] != after[s]]
     assert {before[s] for s in moved} == {"h0"}
     assert 5 < len(moved) < 45
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/peers/keeping.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/peers/keeping.py
@@ -15,7 +15,7 @@
 
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 
-from plumsaddle_core.ops.keeper import SlotAllocator, choose_keeper
+from plumsaddle_core.ops.keeper import SlotAllocator, choose_allocator
 
 from . import exchange_pb2 as pb
 
@@ -292,7 +292,7 @@
         addresses = {row.id: row.address for row in rows}
         if not addresses:
             return members.own.address
-        return addresses[choose_keeper(service, sorted(addresses))]
+        return addresses[choose_allocator(service, sorted(addresses))]
 
     def _link(self, address, now):
         link = self._links.get(address)
--- a/packages/plumsaddle-standins/plumsaddle_standins/fleet_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/fleet_test.py
@@ -19,7 +19,7 @@
 
 import pytest
 
-from plumsaddle_core.ops.keeper import choose_keeper
+from plumsaddle_core.ops.keeper import choose_allocator
 
 from .demo import make_key
 from .fleet import TRIAL, Fleet, call, wait_for
@@ -597,7 +597,7 @@
     More look-ups than slots make the hosts ask the service's keeper. It is stopped
     with SIGSTOP: its connections stay open, and it says nothing any more.
     """
-    name = choose_keeper("look", [entry.id for entry in fleet.entries])
+    name = choose_allocator("look", [entry.id for entry in fleet.entries])
     (keeper,) = [entry for entry in fleet.entries if entry.id == name]
     others = [entry for entry in fleet.entries if entry is not keeper]
     names = ("look-1", "look-2", "look-3")
