--- a/packages/plumsaddle-core/plumsaddle_core/ops/keeper.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/keeper.py
@@ -57,7 +57,7 @@
         """Let a request wait for a slot."""
         heapq.heappush(self._waiting, Waiting(deadline, next(self._count), ticket))
 
-    def give_back(self, number, now, is_shed):
+    def release(self, number, now, is_shed):
         """
         Take a slot back.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/keeper_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/keeper_test.py
@@ -12,7 +12,7 @@
     grants = keeper.serve(TARGETS, 0.0)
     assert sorted(grant.target for grant in grants) == ["a", "a", "b", "b"]
     assert keeper.serve(TARGETS, 1.0) == []
-    keeper.give_back(grants[0].number, 1.0, False)
+    keeper.release(grants[0].number, 1.0, False)
     assert [g.ticket for g in keeper.serve(TARGETS, 1.0)] == [4]
 
 
@@ -36,7 +36,7 @@
     keeper.ask("second", 99.0)
     assert keeper.serve(["a"], GRANT_FOR - 1) == []
     assert [g.ticket for g in keeper.serve(["a"], GRANT_FOR)] == ["second"]
-    keeper.give_back(grant.number, GRANT_FOR, False)
+    keeper.release(grant.number, GRANT_FOR, False)
     keeper.ask("third", 99.0)
     assert keeper.serve(["a"], GRANT_FOR) == []
 
@@ -45,7 +45,7 @@
     keeper = SlotAllocator(1)
     keeper.ask("first", 9.0)
     (grant,) = keeper.serve(["a"], 0.0)
-    keeper.give_back(grant.number, 1.0, True)
+    keeper.release(grant.number, 1.0, True)
     keeper.ask("second", 9.0)
     assert keeper.serve(["a"], 1.0) == []
     assert keeper.serve(["a"], 1.0 + SHED_REST) != []
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/peers/keeping.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/peers/keeping.py
@@ -74,7 +74,7 @@
             link.is_open = False
             now = asyncio.get_running_loop().time()
             for held in link.held:
-                self._keeper(held.service).give_back(held.number, now, False)
+                self._keeper(held.service).release(held.number, now, False)
             self.serve_all(now)
 
     def _keeper(self, service):
@@ -90,7 +90,7 @@
         now = asyncio.get_running_loop().time()
         for back in news.returns:
             link.held.discard(Held(back.service, back.number))
-            self._keeper(back.service).give_back(back.number, now, back.is_shed)
+            self._keeper(back.service).release(back.number, now, back.is_shed)
         for ask in news.asks:
             if ask.service in self._host.services:
                 asked = Asked(link, ask.ticket)
@@ -106,7 +106,7 @@
             for grant in keeper.serve(state.pool.healthy_keys(), now):
                 link = grant.ticket.link
                 if not link.is_open:
-                    keeper.give_back(grant.number, now, False)
+                    keeper.release(grant.number, now, False)
                     continue
                 link.held.add(Held(service, grant.number))
                 link.outbox.append(
--- a/packages/plumsaddle-standins/plumsaddle_standins/model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model.py
@@ -228,7 +228,7 @@
         self.at(self.now + HOP, self._return_arrives, number, is_shed)
 
     def _return_arrives(self, number, is_shed):
-        self.keeper.give_back(number, self.now, is_shed)
+        self.keeper.release(number, self.now, is_shed)
         self._grant()
         if is_shed:
             self.at(self.now + SHED_PAUSE, self._grant)
