--- a/packages/plumsaddle-core/plumsaddle_core/ops/keeper.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/keeper.py
@@ -53,7 +53,7 @@
         self._waiting = []
         self._count = itertools.count()
 
-    def ask(self, ticket, deadline):
+    def request_slot(self, ticket, deadline):
         """Let a request wait for a slot."""
         heapq.heappush(self._waiting, Waiting(deadline, next(self._count), ticket))
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/keeper_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/keeper_test.py
@@ -8,7 +8,7 @@
 def test_no_target_gets_more_than_its_slots():
     keeper = SlotAllocator(2)
     for ticket in range(6):
-        keeper.ask(ticket, 10.0)
+        keeper.request_slot(ticket, 10.0)
     grants = keeper.serve(TARGETS, 0.0)
     assert sorted(grant.target for grant in grants) == ["a", "a", "b", "b"]
     assert keeper.serve(TARGETS, 1.0) == []
@@ -19,7 +19,7 @@
 def test_earliest_deadline_first_and_late_ones_not_at_all():
     keeper = SlotAllocator(1)
     for ticket, deadline in (("late", 1.0), ("far", 9.0), ("near", 5.0)):
-        keeper.ask(ticket, deadline)
+        keeper.request_slot(ticket, deadline)
     assert [g.ticket for g in keeper.serve(TARGETS, 2.0)] == ["near", "far"]
 
 
@@ -31,22 +31,22 @@
     back when it has lapsed already.
     """
     keeper = SlotAllocator(1)
-    keeper.ask("first", 99.0)
+    keeper.request_slot("first", 99.0)
     (grant,) = keeper.serve(["a"], 0.0)
-    keeper.ask("second", 99.0)
+    keeper.request_slot("second", 99.0)
     assert keeper.serve(["a"], GRANT_FOR - 1) == []
     assert [g.ticket for g in keeper.serve(["a"], GRANT_FOR)] == ["second"]
     keeper.release(grant.number, GRANT_FOR, False)
-    keeper.ask("third", 99.0)
+    keeper.request_slot("third", 99.0)
     assert keeper.serve(["a"], GRANT_FOR) == []
 
 
 def test_target_that_sheds_rests_for_a_moment():
     keeper = SlotAllocator(1)
-    keeper.ask("first", 9.0)
+    keeper.request_slot("first", 9.0)
     (grant,) = keeper.serve(["a"], 0.0)
     keeper.release(grant.number, 1.0, True)
-    keeper.ask("second", 9.0)
+    keeper.request_slot("second", 9.0)
     assert keeper.serve(["a"], 1.0) == []
     assert keeper.serve(["a"], 1.0 + SHED_REST) != []
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/peers/keeping.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/peers/keeping.py
@@ -94,7 +94,7 @@
         for ask in news.asks:
             if ask.service in self._host.services:
                 asked = Asked(link, ask.ticket)
-                self._keeper(ask.service).ask(asked, now + ask.seconds)
+                self._keeper(ask.service).request_slot(asked, now + ask.seconds)
         self.serve_all(now)
 
     def serve_all(self, now):
--- a/packages/plumsaddle-standins/plumsaddle_standins/model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model.py
@@ -197,7 +197,7 @@
         self.at(self.now + HOP, self._ask_arrives, request)
 
     def _ask_arrives(self, request):
-        self.keeper.ask(request, request.deadline)
+        self.keeper.request_slot(request, request.deadline)
         self.at(request.deadline, self._expire, request)
         self._grant()
 
