--- a/packages/plumsaddle-core/plumsaddle_core/ops/keeper.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/keeper.py
@@ -75,7 +75,7 @@
         if is_shed:
             self._rests[target] = now + SHED_REST
 
-    def serve(self, targets, now):
+    def grant_slots(self, targets, now):
         """
         Grant free slots, the earliest deadline first.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/keeper_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/keeper_test.py
@@ -9,18 +9,18 @@
     keeper = SlotAllocator(2)
     for ticket in range(6):
         keeper.request_slot(ticket, 10.0)
-    grants = keeper.serve(TARGETS, 0.0)
+    grants = keeper.grant_slots(TARGETS, 0.0)
     assert sorted(grant.target for grant in grants) == ["a", "a", "b", "b"]
-    assert keeper.serve(TARGETS, 1.0) == []
+    assert keeper.grant_slots(TARGETS, 1.0) == []
     keeper.release(grants[0].number, 1.0, False)
-    assert [g.ticket for g in keeper.serve(TARGETS, 1.0)] == [4]
+    assert [g.ticket for g in keeper.grant_slots(TARGETS, 1.0)] == [4]
 
 
 def test_earliest_deadline_first_and_late_ones_not_at_all():
     keeper = SlotAllocator(1)
     for ticket, deadline in (("late", 1.0), ("far", 9.0), ("near", 5.0)):
         keeper.request_slot(ticket, deadline)
-    assert [g.ticket for g in keeper.serve(TARGETS, 2.0)] == ["near", "far"]
+    assert [g.ticket for g in keeper.grant_slots(TARGETS, 2.0)] == ["near", "far"]
 
 
 def test_grant_of_a_killed_host_lapses_and_its_late_return_counts_once():
@@ -32,23 +32,23 @@
     """
     keeper = SlotAllocator(1)
     keeper.request_slot("first", 99.0)
-    (grant,) = keeper.serve(["a"], 0.0)
+    (grant,) = keeper.grant_slots(["a"], 0.0)
     keeper.request_slot("second", 99.0)
-    assert keeper.serve(["a"], GRANT_FOR - 1) == []
-    assert [g.ticket for g in keeper.serve(["a"], GRANT_FOR)] == ["second"]
+    assert keeper.grant_slots(["a"], GRANT_FOR - 1) == []
+    assert [g.ticket for g in keeper.grant_slots(["a"], GRANT_FOR)] == ["second"]
     keeper.release(grant.number, GRANT_FOR, False)
     keeper.request_slot("third", 99.0)
-    assert keeper.serve(["a"], GRANT_FOR) == []
+    assert keeper.grant_slots(["a"], GRANT_FOR) == []
 
 
 def test_target_that_sheds_rests_for_a_moment():
     keeper = SlotAllocator(1)
     keeper.request_slot("first", 9.0)
-    (grant,) = keeper.serve(["a"], 0.0)
+    (grant,) = keeper.grant_slots(["a"], 0.0)
     keeper.release(grant.number, 1.0, True)
     keeper.request_slot("second", 9.0)
-    assert keeper.serve(["a"], 1.0) == []
-    assert keeper.serve(["a"], 1.0 + SHED_REST) != []
+    assert keeper.grant_slots(["a"], 1.0) == []
+    assert keeper.grant_slots(["a"], 1.0 + SHED_REST) != []
 
 
 def test_only_the_services_of_a_host_that_goes_move():
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/peers/keeping.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/peers/keeping.py
@@ -103,7 +103,7 @@
             state = self._host.services.get(service)
             if state is None:
                 continue
-            for grant in keeper.serve(state.pool.healthy_keys(), now):
+            for grant in keeper.grant_slots(state.pool.healthy_keys(), now):
                 link = grant.ticket.link
                 if not link.is_open:
                     keeper.release(grant.number, now, False)
--- a/packages/plumsaddle-standins/plumsaddle_standins/model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model.py
@@ -209,7 +209,7 @@
 
     def _grant(self):
         usable = sorted(self.hosts[0].keys_in(self.now))
-        for grant in self.keeper.serve(usable, self.now):
+        for grant in self.keeper.grant_slots(usable, self.now):
             self.messages += 1
             self.at(self.now + HOP, self._grant_arrives, grant)
 
