--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
@@ -85,7 +85,7 @@
 
 class Feed:
     """
-    Follows one topic deadline cancelled.
+    Follows one topic until cancelled.
 
     Args:
       store: The `Store`.
