--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -89,7 +89,7 @@
         rng = random.Random(os.urandom(16))
         self.metrics = EdgeMetrics(settings.id)
         self.knowledge = HostState(settings, rng)
-        self.links = ConnectionPool()
+        self.pool = ConnectionPool()
         self._store_session = make_session()
         self.store = Store(self._store_session, f"http://{settings.store_address}")
         registry = self.knowledge.registry
@@ -101,9 +101,9 @@
         suspects = self.knowledge.shared.suspects
         self.stored = StoredSuspects(self.store, suspects, store_access)
         self.endings = CrashDetector(
-            self.knowledge, self.links, self.metrics, self.stored.schedule_write
+            self.knowledge, self.pool, self.metrics, self.stored.schedule_write
         )
-        sender = Sender(self.knowledge, self.links, self.metrics, self.endings)
+        sender = Sender(self.knowledge, self.pool, self.metrics, self.endings)
         relay = Relay(self.knowledge, sender, self.metrics, self.endings)
         self._relay = relay
         self.front = Front(self.knowledge, relay, self.metrics)
@@ -190,7 +190,7 @@
     def _on_target_restart(self, incarnation):
         """Handle the end of a target's incarnation after the target has restarted."""
         self.endings.note_restarted(incarnation)
-        self.links.close_incarnation(incarnation)
+        self.pool.close_incarnation(incarnation)
 
     def _on_stop(self):
         log.info("shutdown requested", extra={"in_flight": self.front.in_flight})
@@ -223,7 +223,7 @@
             server.close()
         self._front_server.close_idle()
         self.peers.close()
-        self.links.close_idle()
+        self.pool.close_idle()
         await self._store_session.close()
 
     async def _run_housekeeping(self):
@@ -231,7 +231,7 @@
         while True:
             at = now()
             self.knowledge.expire(at)
-            self.links.close_expired(self.knowledge.registry.incarnations())
+            self.pool.close_expired(self.knowledge.registry.incarnations())
             self.endings.tick(at)
             self.stored.evict_expired(at)
             self.stored.schedule_write()
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_faults_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_faults_test.py
@@ -156,7 +156,7 @@
     steady clock does not count them, so the order still looks young.
     """
     async with Trial(services=("act",), targets=1) as trial:
-        links = trial.hosts[0].links
+        links = trial.hosts[0].pool
         opened = links.open
 
         async def open_over_the_suspension(target):
