--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -44,10 +44,10 @@
 
 log = logging.getLogger("host")
 SETTINGS_VARIABLE = "PLUMSADDLE_CONFIG"
-EXIT_BAD_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 HOUSEKEEPING_INTERVAL = 1.0
 LISTEN_BACKLOG = 512
-# Seconds for which new connections may arrive after the host has become unready: the
+# Seconds for which callers may still connect after the host has become unready: the
 # load balancer checks every second and removes a host after two failed checks.
 DRAIN_LISTEN_TIME = 3.2
 # Seconds of the grace period that are reserved for closing, and the part of them in
@@ -99,12 +99,12 @@
             registry.note_store_recovery,
         )
         suspects = self.knowledge.shared.suspects
-        self.stored = StoredSuspects(self.store, suspects, store_access)
-        self.endings = CrashDetector(
-            self.knowledge, self.pool, self.metrics, self.stored.schedule_write
+        self.stored_suspects = StoredSuspects(self.store, suspects, store_access)
+        self.crash_detector = CrashDetector(
+            self.knowledge, self.pool, self.metrics, self.stored_suspects.schedule_write
         )
-        sender = Sender(self.knowledge, self.pool, self.metrics, self.endings)
-        relay = Relay(self.knowledge, sender, self.metrics, self.endings)
+        sender = Sender(self.knowledge, self.pool, self.metrics, self.crash_detector)
+        relay = Relay(self.knowledge, sender, self.metrics, self.crash_detector)
         self._relay = relay
         self.front = Front(self.knowledge, relay, self.metrics)
         self._feeds = [
@@ -128,8 +128,8 @@
                 self.store,
                 SUSPECTS_TOPIC,
                 store_access,
-                self.stored.apply_page,
-                self.stored.apply_page,
+                self.stored_suspects.apply_page,
+                self.stored_suspects.apply_page,
                 rng,
                 RARE_CHANGES,
             ),
@@ -189,7 +189,7 @@
 
     def _on_target_restart(self, incarnation):
         """Handle the end of a target's incarnation after the target has restarted."""
-        self.endings.note_restarted(incarnation)
+        self.crash_detector.note_restarted(incarnation)
         self.pool.close_incarnation(incarnation)
 
     def _on_stop(self):
@@ -232,9 +232,9 @@
             at = now()
             self.knowledge.expire(at)
             self.pool.close_expired(self.knowledge.registry.incarnations())
-            self.endings.tick(at)
-            self.stored.evict_expired(at)
-            self.stored.schedule_write()
+            self.crash_detector.tick(at)
+            self.stored_suspects.evict_expired(at)
+            self.stored_suspects.schedule_write()
             self.peers.send_heartbeat(at)
             self._reload_if_changed()
             cfg = self.knowledge.cfg
@@ -307,7 +307,7 @@
     if isinstance(result, Failure):
         for message in result.failure():
             print(message, file=sys.stderr)
-        sys.exit(EXIT_BAD_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     settings = result.unwrap()
     configure_logging(settings.id)
     asyncio.run(_run_host(settings, path))
