--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -106,14 +106,14 @@
         # When the last messages to the hub were sent, by number.
         self._sent_at = {}
         self._peer_table = PeerTable(settings.peer_address, settings.link_rate)
-        self._readers = Readers(gate, feeds, self._peer_table, self._send)
+        self._reader_role = Readers(gate, feeds, self._peer_table, self._send)
         self._others = OtherCentres(settings, shared, self._life, self._send, rng)
         self._collected = Collected()
         self._taking = Taking(
             settings,
             shared,
             self._peer_table,
-            self._readers,
+            self._reader_role,
             self._others,
             self._collected,
             Ways(
@@ -194,9 +194,9 @@
             strangers = self._others.strangers.some(at)
         return Beat(
             self._settings.link_rate or 0.0,
-            self._readers.contact(at),
-            self._readers.read(at),
-            self._readers.returned(at),
+            self._reader_role.contact(at),
+            self._reader_role.read(at),
+            self._reader_role.returned(at),
             members,
             strangers,
         )
@@ -223,7 +223,7 @@
         if self._pick_hub(at):
             # Told at once, since what went to a lost hub was told to nobody.
             self._send_work(at, self._make_beat(at))
-        self._readers.update(self._may_act_alone(at), at)
+        self._reader_role.update(self._may_act_alone(at), at)
         if self._picked_itself():
             if self._collected.clients(at):
                 # Its clients hear it directly.
@@ -361,11 +361,11 @@
         at = now()
         # The first that a store answers after an outage is a reader from then on, and
         # what it has just read keeps all others from asking.
-        self._readers.update(self._may_act_alone(at), at)
-        if not self._readers.is_reader:
+        self._reader_role.update(self._may_act_alone(at), at)
+        if not self._reader_role.is_reader:
             return
         if page.records:
-            self._readers.tell_records(topic, page)
+            self._reader_role.tell_records(topic, page)
         self._send_work(at, self._make_beat(at))
 
     def _send(self, data, *addresses):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -535,7 +535,7 @@
     hosts = [net.add(f"{c}{n}", c, seed) for c in CENTRES for n in range(6)]
     net.play(DISCOVERY_PERIOD / 2)
     spoken = [peers for peers, _, _ in hosts if peers._others._load_number]
-    reading = [peers for peers, _, _ in hosts if peers._readers.is_reader]
+    reading = [peers for peers, _, _ in hosts if peers._reader_role.is_reader]
     # The seed itself asks nobody.
     assert [peers._settings.peer_address for peers in spoken] == list(seed)
     assert [peers._settings.peer_address for peers in reading] == list(seed)
@@ -547,7 +547,7 @@
     ]
     assert sum(speaks[:6]) == sum(speaks[6:]) == 1
     for centre in (hosts[:6], hosts[6:]):
-        assert sum(peers._readers.is_reader for peers, _, _ in centre) == READERS
+        assert sum(peers._reader_role.is_reader for peers, _, _ in centre) == READERS
 
 
 def test_records_are_told_from_their_first_offset(net):
@@ -556,7 +556,7 @@
     one at which it had read.
     """
     hosts = _fleet(net, 4)
-    reader = next(peers for peers, _, _ in hosts[:4] if peers._readers.is_reader)
+    reader = next(peers for peers, _, _ in hosts[:4] if peers._reader_role.is_reader)
     net.sent.clear()
     page = Page([KeyedRecord(11, "t-1", None), KeyedRecord(12, "t-2", b"x")], 13)
     reader.forward_page("topic", page)
