--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -44,35 +44,35 @@
 
 log = logging.getLogger("peers")
 # Members that a hub's beat names, drawn anew each time.
-NAMED_IN_BEAT = 16
+HOSTS_PER_HEARTBEAT = 16
 # What a datagram has besides its data: the headers of IP and UDP, in bytes.
 DATAGRAM_HEADERS = 28
 # Seconds between two messages that carry counts. They bound retries over ten seconds
 # and tell trouble over two and a half, and are a third of a message.
-COUNTS_EVERY = 0.25
+COUNTS_INTERVAL = 0.25
 # Other data centres hear this often (seconds) which targets a data centre has used.
-FAR_EVERY = 1.0
+REMOTE_UPDATE_INTERVAL = 1.0
 # Other data centres hear this often (seconds) what is in flight, and clients of a hub
 # half as often what is in flight elsewhere. Work takes 150 ms and more, so what they
 # know is mostly still true.
-LOAD_EVERY = 0.1
-SUMS_EVERY = 0.2
+LOAD_INTERVAL = 0.1
+LOAD_TOTAL_INTERVAL = 0.2
 # The same when the allowance is used up; what is older than 1.5 s counts for nothing.
-SUMS_MOST = 0.8
+MAX_LOAD_TOTAL_INTERVAL = 0.8
 # A hub tells its clients something at least this often (seconds), so that they notice
 # its loss.
 HUB_SEND_INTERVAL = 0.2
 # How often (seconds) a host that is no hub looks whether it should be, or has lost it.
-TICK_EVERY = 0.25
+TICK_INTERVAL = 0.25
 # A host that has others to ask does no part for its data centre before this age, in
 # seconds.
 DISCOVERY_PERIOD = 1.5
 # Rate limits of targets that a heartbeat of a host that is no hub tells again. The hub
 # may have just started and know none.
-LIMITS_REPEATED = 2
+ANTI_ENTROPY_ROWS = 2
 # Messages to the hub that are remembered until it passes them on; a host sends some ten
 # a second.
-ECHOES_AWAITED = 64
+MAX_PENDING_ECHOES = 64
 
 
 class PeerProtocol(asyncio.DatagramProtocol):
@@ -98,39 +98,41 @@
             feed.subscribe(self.forward_page)
         # Drawn and not taken from a clock: the time of day jumps back, and then a
         # restarted host would look older than it was and be ignored.
-        self._life = secrets.randbits(48)
+        self._incarnation = secrets.randbits(48)
         is_bounded = Feature.BANDWIDTH_LIMIT not in settings.disabled_features
-        self._allowances = SendPacer(settings.link_rate, is_bounded)
-        self._counted_at = 0.0
+        self._pacer = SendPacer(settings.link_rate, is_bounded)
+        self._counts_sent_at = 0.0
         self._number = 0
         # When the last messages to the hub were sent, by number.
         self._sent_at = {}
         self._peer_table = PeerTable(settings.peer_address, settings.link_rate)
         self._reader_role = Readers(gate, feeds, self._peer_table, self._send)
-        self._others = OtherCentres(settings, shared, self._life, self._send, rng)
-        self._collected = Collected()
-        self._taking = Taking(
+        self._remote = OtherCentres(
+            settings, shared, self._incarnation, self._send, rng
+        )
+        self._buffer = Collected()
+        self._handler = Taking(
             settings,
             shared,
             self._peer_table,
             self._reader_role,
-            self._others,
-            self._collected,
+            self._remote,
+            self._buffer,
             Ways(
                 lambda data, *addresses: self._send(data, *addresses),
-                self._send_soon,
-                self._is_hub,
-                self._echo_of,
+                self._schedule_send,
+                self._is_forwarding,
+                self._sent_time,
             ),
         )
-        self._bundled_at = 0.0
-        self._summed_at = 0.0
+        self._bundle_sent_at = 0.0
+        self._load_total_sent_at = 0.0
         self._transport = None
         # The call that tells what waits, and whether own work is part of that.
-        self._due = None
-        self._due_at = 0.0
-        self._is_work_untold = False
-        self._started = now()
+        self._send_call = None
+        self._send_due_at = 0.0
+        self._has_unsent_update = False
+        self._started_at = now()
 
     async def open(self):
         """Open the socket."""
@@ -154,19 +156,19 @@
         Args:
           is_urgent: Whether the news makes a target look worse.
         """
-        self._is_work_untold = True
-        self._send_soon(is_urgent)
+        self._has_unsent_update = True
+        self._schedule_send(is_urgent)
 
-    def _send_soon(self, is_urgent):
+    def _schedule_send(self, is_urgent):
         """Tell what waits; all that happens until then goes out together."""
         at = now()
-        wait = self._allowances.wait(is_urgent, at)
-        if self._due is not None:
-            if at + wait >= self._due_at:
+        wait = self._pacer.wait(is_urgent, at)
+        if self._send_call is not None:
+            if at + wait >= self._send_due_at:
                 return
-            self._due.cancel()
-        self._due_at = at + wait
-        self._due = self._call_later(wait, self._tell)
+            self._send_call.cancel()
+        self._send_due_at = at + wait
+        self._send_call = self._call_later(wait, self._send_pending)
 
     def send_heartbeat(self, at):
         """Tell the others that this host lives, and look for others."""
@@ -175,23 +177,25 @@
             log.info("silent", extra={"peer": host})
         self._shared.quotas.tick(at)
         self._pick_hub(at)
-        self._send_work(at, self._make_beat(at))
-        if self._picked_itself() and self._may_act_alone(at):
-            self._others.tell_news(self._shared.tags_used_since(at - FAR_EVERY), at)
+        self._send_update(at, self._make_heartbeat(at))
+        if self._is_hub() and self._may_act_alone(at):
+            self._remote.tell_news(
+                self._shared.tags_used_since(at - REMOTE_UPDATE_INTERVAL), at
+            )
         else:
             # The hub tells it for all.
             self._shared.evidence.next_batch()
-        if not len(self._peer_table) or self._others.strangers.are_few(at):
-            self._ask(at)
+        if not len(self._peer_table) or self._remote.strangers.are_few(at):
+            self._send_hello(at)
 
-    def _make_beat(self, at):
+    def _make_heartbeat(self, at):
         members, strangers = [], {}
-        if self._picked_itself():
+        if self._is_hub():
             # Only hosts heard lately are named, else two hosts would keep naming a dead
             # one to each other for ever.
-            live = self._peer_table.live_addresses(at)
-            members = self._rng.sample(live, min(NAMED_IN_BEAT, len(live)))
-            strangers = self._others.strangers.some(at)
+            live = self._peer_table.live(at)
+            members = self._rng.sample(live, min(HOSTS_PER_HEARTBEAT, len(live)))
+            strangers = self._remote.strangers.some(at)
         return Beat(
             self._settings.link_rate or 0.0,
             self._reader_role.contact(at),
@@ -201,12 +205,12 @@
             strangers,
         )
 
-    def _ask(self, at):
+    def _send_hello(self, at):
         """Ask the seeds, and the hosts that are known elsewhere, for others."""
         settings = self._settings
         hello = encode(Hello(settings.id, settings.data_centre, settings.peer_address))
         asked = set(settings.seeds)
-        for strangers in self._others.strangers.some(at).values():
+        for strangers in self._remote.strangers.some(at).values():
             asked.update(strangers)
         for address in asked - {settings.peer_address}:
             self._send(hello, address)
@@ -222,23 +226,23 @@
         """
         if self._pick_hub(at):
             # Told at once, since what went to a lost hub was told to nobody.
-            self._send_work(at, self._make_beat(at))
+            self._send_update(at, self._make_heartbeat(at))
         self._reader_role.update(self._may_act_alone(at), at)
-        if self._picked_itself():
-            if self._collected.clients(at):
+        if self._is_hub():
+            if self._buffer.clients(at):
                 # Its clients hear it directly.
                 self._shared.limits.membership.note_delivered(at)
             if self._may_act_alone(at):
-                self._others.tell_load(at)
-        elif not self._collected.clients(at):
-            return TICK_EVERY
-        if at - self._bundled_at >= HUB_SEND_INTERVAL:
+                self._remote.tell_load(at)
+        elif not self._buffer.clients(at):
+            return TICK_INTERVAL
+        if at - self._bundle_sent_at >= HUB_SEND_INTERVAL:
             self._send_bundle(at)
-        if at - self._bundled_at >= HUB_SEND_INTERVAL:
+        if at - self._bundle_sent_at >= HUB_SEND_INTERVAL:
             # There was nothing to tell but that it is here.
-            self._send(encode(Bundle()), *self._collected.clients(at))
-            self._bundled_at = at
-        return LOAD_EVERY
+            self._send(encode(Bundle()), *self._buffer.clients(at))
+            self._bundle_sent_at = at
+        return LOAD_INTERVAL
 
     def _pick_hub(self, at):
         """Return whether this host has another hub than before."""
@@ -256,55 +260,57 @@
         takes itself for the first: 293 hosts would all read the store and speak to the
         other data centres ten times a second.
         """
-        is_old = at - self._started >= DISCOVERY_PERIOD
+        is_old = at - self._started_at >= DISCOVERY_PERIOD
         return is_old or not self._settings.has_seeds
 
-    def _picked_itself(self):
+    def _is_hub(self):
         """Whether this host is the hub as far as it knows."""
         return self._peer_table.hub is None
 
-    def _is_hub(self, at):
+    def _is_forwarding(self, at):
         """Whether this host tells others what it is told."""
-        return self._picked_itself() or bool(self._collected.clients(at))
+        return self._is_hub() or bool(self._buffer.clients(at))
 
-    def _echo_of(self, work):
+    def _sent_time(self, work):
         """Return when a message was sent if it is this host's own, else None."""
-        return self._sent_at.get(work.number) if work.life == self._life else None
+        return (
+            self._sent_at.get(work.number) if work.life == self._incarnation else None
+        )
 
-    def _tell(self):
-        self._due = None
+    def _send_pending(self):
+        self._send_call = None
         at = now()
-        if self._is_work_untold:
-            self._send_work(at)
-        elif self._is_hub(at):
+        if self._has_unsent_update:
+            self._send_update(at)
+        elif self._is_forwarding(at):
             self._send_bundle(at)
 
-    def _send_work(self, at, beat=None):
+    def _send_update(self, at, beat=None):
         """Tell this host's work to its hub, or as the hub to all."""
-        self._is_work_untold = False
-        data = encode(self._make_work(at, beat))
-        if not self._picked_itself():
+        self._has_unsent_update = False
+        data = encode(self._make_update(at, beat))
+        if not self._is_hub():
             self._sent_at[self._number] = at
-            self._sent_at.pop(self._number - ECHOES_AWAITED, None)
+            self._sent_at.pop(self._number - MAX_PENDING_ECHOES, None)
             self._send(data, self._peer_table.hub)
-        if self._is_hub(at):
-            self._collected.add_work(self._settings.id, data)
+        if self._is_forwarding(at):
+            self._buffer.add_work(self._settings.id, data)
             self._send_bundle(at)
 
-    def _make_work(self, at, beat):
+    def _make_update(self, at, beat):
         self._number += 1
         outcomes = [
             (o.number, o.target, o.service, o.route, o.signal, round(o.seconds, 4))
             for o in self._shared.outcomes.next_batch()
         ]
         counts = {}
-        if beat is not None or at - self._counted_at >= COUNTS_EVERY:
-            self._counted_at = at
+        if beat is not None or at - self._counts_sent_at >= COUNTS_INTERVAL:
+            self._counts_sent_at = at
             counts = self._shared.own_counts()
         return Work(
             self._settings.id,
             self._settings.peer_address,
-            self._life,
+            self._incarnation,
             self._number,
             self._shared.own_in_flight(),
             outcomes,
@@ -320,33 +326,35 @@
         named = self._shared.limits.advertised
         rows = named.local_rows()
         if beat is not None:
-            most = MAX_ROWS if self._picked_itself() else LIMITS_REPEATED
+            most = MAX_ROWS if self._is_hub() else ANTI_ENTROPY_ROWS
             rows += named.anti_entropy_rows(most, self._rng)
         return rows
 
     def _send_bundle(self, at):
         """Tell all hosts what this one was told as a hub."""
-        if self._picked_itself() and self._others.has_urgent_news:
-            self._others.tell_news([], at)
+        if self._is_hub() and self._remote.has_urgent_news:
+            self._remote.tell_news([], at)
         sums = None
-        if self._is_sums_due(at):
-            self._summed_at = at
+        if self._is_load_total_due(at):
+            self._load_total_sent_at = at
             sums = self._shared.remote_load_total(at)
-        for_all, for_clients = self._collected.take(sums)
+        for_all, for_clients = self._buffer.take(sums)
         everyone = self._peer_table.addresses()
-        clients = self._collected.clients(at)
+        clients = self._buffer.clients(at)
         for data in for_all:
             self._send(data, *everyone)
         for data in for_clients:
             self._send(data, *clients)
         if for_all or for_clients:
-            self._bundled_at = at
+            self._bundle_sent_at = at
 
-    def _is_sums_due(self, at):
+    def _is_load_total_due(self, at):
         """Whether to tell clients what is in flight elsewhere; small links wait."""
-        age = at - self._summed_at
-        has_room = self._allowances.has_bandwidth(at)
-        return age >= SUMS_MOST or (age >= SUMS_EVERY and has_room)
+        age = at - self._load_total_sent_at
+        has_room = self._pacer.has_bandwidth(at)
+        return age >= MAX_LOAD_TOTAL_INTERVAL or (
+            age >= LOAD_TOTAL_INTERVAL and has_room
+        )
 
     def forward_page(self, topic, page):
         """
@@ -366,12 +374,12 @@
             return
         if page.records:
             self._reader_role.tell_records(topic, page)
-        self._send_work(at, self._make_beat(at))
+        self._send_update(at, self._make_heartbeat(at))
 
     def _send(self, data, *addresses):
         at = now()
         size = len(addresses) * (len(data) + DATAGRAM_HEADERS)
-        self._allowances.spend(len(addresses), size, at)
+        self._pacer.spend(len(addresses), size, at)
         if self._transport is None or self._transport.is_closing():
             return
         for address in addresses:
@@ -389,7 +397,7 @@
     def datagram_received(self, data, sender):
         address = f"{sender[0]}:{sender[1]}"
         try:
-            self._taking.take(decode(data), data, address, now())
+            self._handler.take(decode(data), data, address, now())
         except msgspec.DecodeError as exc:
             log.warning("unreadable", extra={"peer": address, "cause": str(exc)})
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -270,7 +270,7 @@
     """
     hosts = _fleet(net)
     for peers, _, _ in hosts:
-        assert peers._others.strangers.some(net.at)
+        assert peers._remote.strangers.some(net.at)
     net.cut.add(hosts[3][2])
     net.play(HUB_KNOWN_FOR + 0.1)
     peers, shared, _ = hosts[1]
@@ -391,7 +391,7 @@
     hosts = _fleet(net)
     net.sent.clear()
     for peers, _, _ in hosts[:3]:
-        peers._bundled_at = net.at
+        peers._bundle_sent_at = net.at
         peers.tick(net.at)
     assert len(net.sent) == len(CENTRES) - 1
 
@@ -534,16 +534,16 @@
     seed = ("10.0.0.1:7000",)
     hosts = [net.add(f"{c}{n}", c, seed) for c in CENTRES for n in range(6)]
     net.play(DISCOVERY_PERIOD / 2)
-    spoken = [peers for peers, _, _ in hosts if peers._others._load_number]
+    spoken = [peers for peers, _, _ in hosts if peers._remote._load_number]
     reading = [peers for peers, _, _ in hosts if peers._reader_role.is_reader]
     # The seed itself asks nobody.
     assert [peers._settings.peer_address for peers in spoken] == list(seed)
     assert [peers._settings.peer_address for peers in reading] == list(seed)
     net.play(4.0)
-    before = [peers._others._load_number for peers, _, _ in hosts]
+    before = [peers._remote._load_number for peers, _, _ in hosts]
     net.play(1.0)
     speaks = [
-        p._others._load_number > n for (p, _, _), n in zip(hosts, before, strict=True)
+        p._remote._load_number > n for (p, _, _), n in zip(hosts, before, strict=True)
     ]
     assert sum(speaks[:6]) == sum(speaks[6:]) == 1
     for centre in (hosts[:6], hosts[6:]):
@@ -591,6 +591,6 @@
         waits.append(seconds) or _Call(function)
     )
     peers.send_update_soon(is_urgent=False)
-    peers._allowances.spend(10_000, 0, net.at)
+    peers._pacer.spend(10_000, 0, net.at)
     peers.send_update_soon(is_urgent=True)
     assert len(waits) == 1
--- a/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
@@ -150,7 +150,7 @@
           The seconds until all hosts that are left know of it.
         """
         self._play(WARM_UP)
-        hub = next(a for a, (p, _) in self._hosts.items() if p._picked_itself())
+        hub = next(a for a, (p, _) in self._hosts.items() if p._is_hub())
         address = self._rng.choice([a for a in self._hosts if a != hub])
         if has_hub_lost:
             self._lost.add(hub)
