--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/bundles.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/bundles.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from .messages import Asked, Bundle, pack_bundle
+from .messages import Bundle, DataCentreQuotas, encode_bundle
 
 # Seconds since a host's last message after which it is no client of this hub any more;
 # clients beat once a second.
@@ -80,7 +80,7 @@
         for_all = _pack(works, self._fars)
         for_clients = _pack(self._works_of_hubs, self._fars_of_hubs)
         asked = [
-            Asked(centre, hosts, list(rows.values()))
+            DataCentreQuotas(centre, hosts, list(rows.values()))
             for centre, (hosts, rows) in self._asked.items()
         ]
         has_sums = sums is not None and bool(sums.centres)
@@ -88,7 +88,7 @@
             bundle = Bundle(asked=asked)
             if has_sums:
                 bundle.centres, bundle.load = list(sums.centres), sums.counts
-            for_clients.append(pack_bundle(bundle))
+            for_clients.append(encode_bundle(bundle))
             self._asked = {}
         self._works, self._fars = {}, []
         self._works_of_hubs, self._fars_of_hubs = [], []
@@ -102,10 +102,10 @@
     rows = [(True, raw) for raw in works] + [(False, raw) for raw in fars]
     for is_work, raw in rows:
         if size and size + len(raw) > BUNDLE_MOST:
-            datagrams.append(pack_bundle(bundle))
+            datagrams.append(encode_bundle(bundle))
             bundle, size = Bundle(works=[], fars=[]), 0
         (bundle.works if is_work else bundle.fars).append(raw)
         size += len(raw)
     if size:
-        datagrams.append(pack_bundle(bundle))
+        datagrams.append(encode_bundle(bundle))
     return datagrams
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/bundles_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/bundles_test.py
@@ -7,16 +7,16 @@
 from plumsaddle_core.ops.news import RemoteLoadTotal
 
 from .bundles import CLIENT_FOR, KEPT_OF_HOST, Collected
-from .messages import Work, decode, encode, unpack_bundle
+from .messages import HostUpdate, decode, decompress_bundle, encode
 
 
 def _work(host, number):
-    return encode(Work(host, "10.0.0.1:7000", 1, number, {}, [], {}))
+    return encode(HostUpdate(host, "10.0.0.1:7000", 1, number, {}, [], {}))
 
 
 def _bundles(datagrams):
     messages = [decode(data) for data in datagrams]
-    return [m if hasattr(m, "works") else unpack_bundle(m) for m in messages]
+    return [m if hasattr(m, "works") else decompress_bundle(m) for m in messages]
 
 
 def test_a_hub_that_may_not_tell_for_a_while_does_not_fall_behind():
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
@@ -30,7 +30,7 @@
 # A tag of a workspace, and what was asked and let through of it, as `QuotaRow`.
 QuotaFields = tuple[Count, Count, Count]
 # A request's key, a life of a target, and whether that ended under it.
-RunRow = tuple[str, str, bool]
+RunFields = tuple[str, str, bool]
 # A target's incarnation, a version, and the rate limit that it names, as `LimitRow`.
 LimitFields = tuple[str, Count, Annotated[float, msgspec.Meta(ge=-1.0, le=1e9)]]
 
@@ -50,7 +50,7 @@
     strangers: dict[str, list[str]] = {}
 
 
-class Beat(msgspec.Struct, array_like=True):
+class Heartbeat(msgspec.Struct, array_like=True):
     """
     What a host says of itself once a second.
 
@@ -68,7 +68,7 @@
     strangers: dict[str, list[str]] = {}
 
 
-class Work(msgspec.Struct, array_like=True, tag="w"):
+class HostUpdate(msgspec.Struct, array_like=True, tag="w"):
     """
     A host's work in flight, by tag of target, and its last outcomes.
 
@@ -84,13 +84,13 @@
     in_flight: dict[int, Count]
     outcomes: list[tuple[Count, str, str, str, HealthSignal, Seconds]]
     counts: dict[str, tuple[Count, Count, Count, Count]]
-    beat: Beat | None = None
-    runs: list[RunRow] = []
+    beat: Heartbeat | None = None
+    runs: list[RunFields] = []
     quotas: list[QuotaFields] = []
     limits: list[LimitFields] = []
 
 
-class Asked(msgspec.Struct, array_like=True):
+class DataCentreQuotas(msgspec.Struct, array_like=True):
     """What workspaces asked of a data centre; `hosts` are heard there, or missing."""
 
     centre: str
@@ -111,10 +111,10 @@
     fars: list[msgspec.Raw] = []
     centres: list[str] = []
     load: dict[int, Count] = {}
-    asked: list[Asked] = []
+    asked: list[DataCentreQuotas] = []
 
 
-class Packed(msgspec.Struct, array_like=True, tag="z"):
+class CompressedBundle(msgspec.Struct, array_like=True, tag="z"):
     """An encoded `Bundle`, compressed."""
 
     data: bytes
@@ -144,11 +144,11 @@
     evidence: list[tuple[Count, str, Ratio]]
     used: list[int]
     is_passed_on: bool = False
-    runs: list[RunRow] = []
+    runs: list[RunFields] = []
     limits: list[LimitFields] = []
 
 
-class Load(msgspec.Struct, array_like=True, tag="l"):
+class DataCentreLoad(msgspec.Struct, array_like=True, tag="l"):
     """
     What all hosts of a data centre have in flight, by tag of target.
 
@@ -166,15 +166,24 @@
     quotas: list[QuotaFields] = []
 
 
-Message = Hello | Members | Work | Bundle | Packed | Records | DataCentreUpdate | Load
+Message = (
+    Hello
+    | Members
+    | HostUpdate
+    | Bundle
+    | CompressedBundle
+    | Records
+    | DataCentreUpdate
+    | DataCentreLoad
+)
 decode = msgspec.msgpack.Decoder(Message).decode
 decode_bundle = msgspec.msgpack.Decoder(Bundle).decode
-decode_work = msgspec.msgpack.Decoder(Work).decode
-decode_far = msgspec.msgpack.Decoder(DataCentreUpdate).decode
+decode_host_update = msgspec.msgpack.Decoder(HostUpdate).decode
+decode_data_centre_update = msgspec.msgpack.Decoder(DataCentreUpdate).decode
 encode = msgspec.msgpack.Encoder().encode
 
 
-def news_of(work):
+def to_peer_update(work):
     """Return the `PeerUpdate` of a `Work`."""
     # Most messages tell neither; hosts take some hundreds of them a second.
     outcomes, counts = (), {}
@@ -187,18 +196,18 @@
     )
 
 
-def far_news_of(far):
+def to_remote_update(far):
     """Return the `RemoteUpdate` of a `Far`."""
     evidence = tuple(Evidence(*fields) for fields in far.evidence)
     return RemoteUpdate(far.host, far.life, evidence, tuple(far.used))
 
 
-def far_load_of(load):
+def to_remote_load(load):
     """Return the `RemoteLoad` of a `Load`."""
     return RemoteLoad(load.centre, load.host, load.life, load.number, load.counts)
 
 
-def far_sums_of(bundle):
+def to_remote_load_total(bundle):
     """Return the `RemoteLoadTotal` of a `Bundle`, or None if it has none."""
     return (
         RemoteLoadTotal(tuple(bundle.centres), bundle.load) if bundle.centres else None
@@ -208,52 +217,56 @@
 # Bundles shorter than this (bytes) are sent as they are. Longer ones name the same
 # hosts, routes and targets again and again and shrink to a third, which fits into one
 # packet and lets a hub with a small link tell more often.
-PACKED_FROM = 500
+MIN_SIZE_TO_COMPRESS = 500
 # Bytes that a message may have unpacked: a configuration has a hundredth of this.
-UNPACKED_MOST = 16_000_000
+MAX_DECOMPRESSED_SIZE = 16_000_000
 
 
-def pack_bundle(bundle):
+def encode_bundle(bundle):
     """Return the bytes of a `Bundle`, compressed if it is long."""
     data = encode(bundle)
-    return data if len(data) < PACKED_FROM else encode(Packed(zlib.compress(data, 1)))
+    return (
+        data
+        if len(data) < MIN_SIZE_TO_COMPRESS
+        else encode(CompressedBundle(zlib.compress(data, 1)))
+    )
 
 
-def unpack_bundle(packed):
+def decompress_bundle(packed):
     """
     Return the `Bundle` of a `Packed`.
 
     Raises:
       msgspec.DecodeError: If it cannot be read.
     """
-    return decode_bundle(_unpack(packed.data))
+    return decode_bundle(_decompress(packed.data))
 
 
-def _unpack(data):
+def _decompress(data):
     try:
-        return zlib.decompressobj().decompress(data, UNPACKED_MOST)
+        return zlib.decompressobj().decompress(data, MAX_DECOMPRESSED_SIZE)
     except zlib.error as exc:
         raise msgspec.DecodeError(str(exc)) from exc
 
 
 # Bytes of records that are passed on in one datagram, packed. A link drops a datagram
 # of many packets more easily; what is longer each host reads from the store itself.
-RECORDS_MOST = 24_000
-_Rows = list[tuple[Count, str, bytes | None]]
-_decode_rows = msgspec.msgpack.Decoder(_Rows).decode
+MAX_RECORDS_SIZE = 24_000
+_RecordRows = list[tuple[Count, str, bytes | None]]
+_decode_rows = msgspec.msgpack.Decoder(_RecordRows).decode
 
 
-def pack_records(records):
+def encode_records(records):
     """Return the bytes of a list of `KeyedRecord`, or None if they are too many."""
     packed = zlib.compress(encode([tuple(record) for record in records]), 1)
-    return packed if len(packed) <= RECORDS_MOST else None
+    return packed if len(packed) <= MAX_RECORDS_SIZE else None
 
 
-def unpack_records(packed):
+def decode_records(packed):
     """
     Return the `KeyedRecord`s of `pack_records`.
 
     Raises:
       msgspec.DecodeError: If they cannot be read.
     """
-    return [KeyedRecord(*row) for row in _decode_rows(_unpack(packed))]
+    return [KeyedRecord(*row) for row in _decode_rows(_decompress(packed))]
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -4,7 +4,7 @@
 
 from plumsaddle_core.core.parts import Feature
 
-from .messages import DataCentreUpdate, Load, encode
+from .messages import DataCentreLoad, DataCentreUpdate, encode
 from .strangers import Strangers
 
 # The address that spoke for another data centre last is taken for its hub this long
@@ -90,7 +90,7 @@
         if Feature.REMOTE_LOAD in settings.disabled_features:
             return
         self._load_number += 1
-        load = Load(
+        load = DataCentreLoad(
             settings.data_centre,
             settings.id,
             self._life,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -31,10 +31,10 @@
 from .bundles import Collected
 from .clock import now
 from .messages import (
-    Beat,
     Bundle,
+    Heartbeat,
     Hello,
-    Work,
+    HostUpdate,
     decode,
     encode,
 )
@@ -196,7 +196,7 @@
             live = self._peer_table.live(at)
             members = self._rng.sample(live, min(HOSTS_PER_HEARTBEAT, len(live)))
             strangers = self._remote.strangers.some(at)
-        return Beat(
+        return Heartbeat(
             self._settings.link_rate or 0.0,
             self._reader_role.contact(at),
             self._reader_role.read(at),
@@ -307,7 +307,7 @@
         if beat is not None or at - self._counts_sent_at >= COUNTS_INTERVAL:
             self._counts_sent_at = at
             counts = self._shared.own_counts()
-        return Work(
+        return HostUpdate(
             self._settings.id,
             self._settings.peer_address,
             self._incarnation,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -24,7 +24,7 @@
 from . import peers as module
 from .bundles import CLIENT_FOR
 from .gate import StoreAccess
-from .messages import Bundle, Records, Work, decode, unpack_records
+from .messages import Bundle, HostUpdate, Records, decode, decode_records
 from .others import HUB_KNOWN_FOR
 from .peers import DISCOVERY_PERIOD, HUB_SEND_INTERVAL, PeerProtocol
 
@@ -565,7 +565,7 @@
     assert len(records) == 3
     for message in records:
         assert (message.start, message.next) == (11, 13)
-        assert unpack_records(message.packed) == page.records
+        assert decode_records(message.packed) == page.records
 
 
 def test_one_unreadable_message_does_not_silence_a_bundle(net):
@@ -574,7 +574,7 @@
     messages stand first in each bundle.
     """
     peers, shared, _ = net.add("x0", "x")
-    work = Work("x1", "10.0.0.9:7000", 1, 1, {target_tag("t"): 1}, [], {})
+    work = HostUpdate("x1", "10.0.0.9:7000", 1, 1, {tag_of("t"): 1}, [], {})
     raws = [msgspec.Raw(encode(["w", "strange"])), msgspec.Raw(encode(work))]
     peers.datagram_received(encode(Bundle(works=raws)), ("10.0.0.8", 7000))
     assert shared.in_flight("t") == 1
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
@@ -8,7 +8,7 @@
 from plumsaddle_core.ops.neighbours import StoreStatus
 
 from .clock import now
-from .messages import Records, encode, pack_records, unpack_records
+from .messages import Records, decode_records, encode, encode_records
 
 log = logging.getLogger("peers")
 # A return of the store that is longer ago than this (seconds) is not told any more.
@@ -89,7 +89,7 @@
         """
         # Where the read began, whatever this host knew when it first asked.
         start = page.records[0].offset
-        packed = pack_records(page.records)
+        packed = encode_records(page.records)
         if packed is None:
             log.info("long records", extra={"topic": topic, "at": start})
             return
@@ -104,7 +104,7 @@
         feed = self._feeds.get(message.topic)
         if feed is None:
             return
-        records = unpack_records(message.packed)
+        records = decode_records(message.packed)
         self._gate.note_recovery(at - message.returned)
         feed.apply_page(message.start, records, message.next, at)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -21,20 +21,20 @@
 from ..utils.addresses import is_address
 from .messages import (
     Bundle,
+    CompressedBundle,
+    DataCentreLoad,
     DataCentreUpdate,
-    Load,
+    HostUpdate,
     Members,
-    Packed,
     Records,
-    Work,
-    decode_far,
-    decode_work,
+    decode_data_centre_update,
+    decode_host_update,
+    decompress_bundle,
     encode,
-    far_load_of,
-    far_news_of,
-    far_sums_of,
-    news_of,
-    unpack_bundle,
+    to_peer_update,
+    to_remote_load,
+    to_remote_load_total,
+    to_remote_update,
 )
 from .strangers import STRANGERS_NAMED
 
@@ -77,10 +77,10 @@
         self._settings = settings
         self._shared = shared
         self._peer_table = peer_table
-        self._readers = readers
-        self._others = others
-        self._collected = collected
-        self._ways = ways
+        self._reader_role = readers
+        self._remote = others
+        self._buffer = collected
+        self._callbacks = ways
 
     def _picked_itself(self):
         """Whether this host is the hub as far as it knows."""
@@ -98,29 +98,29 @@
         Raises:
           msgspec.DecodeError: If a part of it cannot be read.
         """
-        if isinstance(message, Work):
-            self._collected.note_client(address, at)
+        if isinstance(message, HostUpdate):
+            self._buffer.note_client(address, at)
             runs_known = self._shared.suspects.local_record_count
             limits_known = self._shared.limits.advertised.revision
             if self._take_work(message, at):
-                self._collected.add_work(message.host, data)
+                self._buffer.add_work(message.host, data)
                 is_calm = all(row[4] in DEFERRABLE_OUTCOMES for row in message.outcomes)
                 has_runs = self._shared.suspects.local_record_count > runs_known
                 has_limits = self._shared.limits.advertised.revision != limits_known
-                self._ways.send_soon(has_runs or has_limits or not is_calm)
+                self._callbacks.send_soon(has_runs or has_limits or not is_calm)
         elif isinstance(message, Bundle):
             self._take_bundle(message, address, at)
-        elif isinstance(message, Packed):
-            self._take_bundle(unpack_bundle(message), address, at)
+        elif isinstance(message, CompressedBundle):
+            self._take_bundle(decompress_bundle(message), address, at)
         elif isinstance(message, Records):
-            self._readers.take_records(message, at)
+            self._reader_role.take_records(message, at)
         elif isinstance(message, DataCentreUpdate):
             self._take_far(message, address, at)
-        elif isinstance(message, Load):
+        elif isinstance(message, DataCentreLoad):
             self._take_load(message, address, at)
         elif isinstance(message, Members):
             self._learn(message.addresses, at)
-            self._others.strangers.learn(message.strangers, at)
+            self._remote.strangers.learn(message.strangers, at)
         else:
             self._take_hello(message, address, at)
 
@@ -133,7 +133,7 @@
             return False
         # Only news counts as a word of the host: a hub that wakes from a freeze passes
         # on what its clients said seconds ago.
-        if not self._shared.apply_update(news_of(work), at):
+        if not self._shared.apply_update(to_peer_update(work), at):
             return False
         self._peer_table.note_message(work.address, at)
         self._take_runs(work.runs, True, at)
@@ -145,7 +145,7 @@
 
     def _take_echo(self, work, at):
         """Take what a hub passes on of this host's own."""
-        sent_at = self._ways.echo_of(work)
+        sent_at = self._callbacks.echo_of(work)
         if sent_at is not None:
             self._peer_table.note_echo(sent_at, at)
             self._shared.limits.membership.note_delivered(sent_at)
@@ -153,8 +153,8 @@
     def _take_beat(self, beat, address, at):
         self._peer_table.update(address, beat.link, beat.contact)
         self._learn(beat.members, at)
-        self._others.strangers.learn(beat.strangers, at)
-        self._readers.take_beat(beat, at)
+        self._remote.strangers.learn(beat.strangers, at)
+        self._reader_role.take_beat(beat, at)
 
     def _take_bundle(self, bundle, address, at):
         """Take what a hub tells, and pass it on to hosts that tell this one."""
@@ -163,23 +163,25 @@
         self._shared.quotas.note_any_message(at)
         works = [
             raw
-            for raw, work in _decode_each(bundle.works, decode_work, address)
+            for raw, work in _decode_each(bundle.works, decode_host_update, address)
             if self._take_work(work, at)
         ]
         fars = [
             raw
-            for raw, far in _decode_each(bundle.fars, decode_far, address)
+            for raw, far in _decode_each(
+                bundle.fars, decode_data_centre_update, address
+            )
             if self._take_far_news(far, at)
         ]
-        sums = far_sums_of(bundle)
+        sums = to_remote_load_total(bundle)
         if sums is not None and not self._picked_itself():
             self._shared.apply_remote_load_total(sums, at)
         if not self._picked_itself():
             for asked in bundle.asked:
                 self._take_asked(asked.centre, asked.hosts, asked.rows, at)
-        if (works or fars) and self._collected.clients(at):
-            self._collected.add_from_hub(works, fars)
-            self._ways.send_soon(is_urgent=False)
+        if (works or fars) and self._buffer.clients(at):
+            self._buffer.add_from_hub(works, fars)
+            self._callbacks.send_soon(is_urgent=False)
 
     def _take_asked(self, centre, hosts, rows, at):
         """Take what workspaces asked of another data centre."""
@@ -191,7 +193,7 @@
         has_runs = self._take_runs(far.runs, False, at)
         has_limits = self._take_limits(far.limits, far.host, False, at)
         return (
-            self._shared.apply_remote_update(far_news_of(far), at)
+            self._shared.apply_remote_update(to_remote_update(far), at)
             or has_runs
             or has_limits
         )
@@ -223,45 +225,45 @@
     def _take_far(self, far, address, at):
         """Take news from elsewhere, and pass it on."""
         if not far.is_passed_on:
-            self._others.note_hub(far.centre, address, at)
+            self._remote.note_hub(far.centre, address, at)
         is_news = self._take_far_news(far, at)
         is_for_hub, far.is_passed_on = not far.is_passed_on, True
-        if self._ways.is_hub(at):
+        if self._callbacks.is_hub(at):
             if is_news:
-                self._collected.add_far(encode(far))
+                self._buffer.add_far(encode(far))
                 # What was seen elsewhere says less of a target than what is seen here,
                 # and four other data centres tell far more of it: it can wait.
-                self._ways.send_soon(is_urgent=False)
+                self._callbacks.send_soon(is_urgent=False)
         elif is_for_hub:
-            self._ways.send(encode(far), self._peer_table.hub)
+            self._callbacks.send(encode(far), self._peer_table.hub)
 
     def _take_load(self, load, address, at):
         """Take the work in flight elsewhere as the hub, or pass it on to the hub."""
         if not load.is_passed_on:
-            self._others.note_hub(load.centre, address, at)
+            self._remote.note_hub(load.centre, address, at)
         if self._picked_itself():
-            self._shared.apply_remote_load(far_load_of(load), at)
+            self._shared.apply_remote_load(to_remote_load(load), at)
             self._take_asked(load.centre, load.hosts, load.quotas, at)
-            self._collected.add_asked(load.centre, load.hosts, load.quotas)
-            if load.quotas and self._collected.clients(at):
-                self._ways.send_soon(is_urgent=False)
+            self._buffer.add_asked(load.centre, load.hosts, load.quotas)
+            if load.quotas and self._buffer.clients(at):
+                self._callbacks.send_soon(is_urgent=False)
         elif not load.is_passed_on:
             load.is_passed_on = True
-            self._ways.send(encode(load), self._peer_table.hub)
+            self._callbacks.send(encode(load), self._peer_table.hub)
 
     def _take_hello(self, hello, address, at):
         """Answer a host that looks for others of its data centre."""
-        strangers = self._others.strangers.some(at)
+        strangers = self._remote.strangers.some(at)
         if hello.centre == self._settings.data_centre:
             known = self._peer_table.addresses()
             self._peer_table.add_candidate(address, at)
         else:
-            known = self._others.strangers.of(hello.centre, at)
-            self._others.strangers.remember(hello.centre, address, at)
+            known = self._remote.strangers.of(hello.centre, at)
+            self._remote.strangers.remember(hello.centre, address, at)
             own = [*self._peer_table.addresses(), self._settings.peer_address]
             strangers[self._settings.data_centre] = own[-STRANGERS_NAMED:]
         known = [a for a in known if a != address]
-        self._ways.send(encode(Members(known[:NAMED_MOST], strangers)), address)
+        self._callbacks.send(encode(Members(known[:NAMED_MOST], strangers)), address)
 
     def _learn(self, addresses, at):
         """Take hosts that were named; they stay only if they are heard."""
