--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/bundles.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/bundles.py
@@ -11,17 +11,17 @@
 
 # Seconds since a host's last message after which it is no client of this hub any more;
 # clients beat once a second.
-CLIENT_FOR = 2.5
+CLIENT_TTL = 2.5
 # Messages of one host that wait for the next bundle. Each states all of its work, and
 # outcomes are told in two messages each, so the last two say nearly all; with more, a
 # hub behind a small link would fall behind for ever.
-KEPT_OF_HOST = 2
+MAX_UPDATES_PER_HOST = 2
 # Bytes of messages that go into one datagram. Compressed, they fit into one packet, so
 # that links that lose packets lose no more of these than of short datagrams.
-BUNDLE_MOST = 4_000
+MAX_BUNDLE_SIZE = 4_000
 
 
-class Collected:
+class BundleBuffer:
     """
     Messages for all hosts, and those for this host's own clients alone.
 
@@ -31,11 +31,11 @@
 
     def __init__(self):
         self._clients = {}
-        self._works = {}
-        self._fars = []
-        self._works_of_hubs = []
-        self._fars_of_hubs = []
-        self._asked = {}
+        self._host_updates = {}
+        self._data_centre_updates = []
+        self._client_host_updates = []
+        self._client_data_centre_updates = []
+        self._quotas = {}
 
     def note_client(self, address, now):
         """Note that a host has told this one as its hub."""
@@ -44,30 +44,30 @@
     def clients(self, now):
         """Return the addresses of the hosts that tell this one as their hub."""
         heard = self._clients.items()
-        self._clients = {a: at for a, at in heard if now - at < CLIENT_FOR}
+        self._clients = {a: at for a, at in heard if now - at < CLIENT_TTL}
         return list(self._clients)
 
-    def add_work(self, host, data):
+    def add_host_update(self, host, data):
         """Keep a host's encoded `Work` for all."""
-        works = self._works.setdefault(host, deque(maxlen=KEPT_OF_HOST))
+        works = self._host_updates.setdefault(host, deque(maxlen=MAX_UPDATES_PER_HOST))
         works.append(msgspec.Raw(data))
 
-    def add_far(self, data):
+    def add_data_centre_update(self, data):
         """Keep an encoded `Far` for all."""
-        self._fars.append(msgspec.Raw(data))
+        self._data_centre_updates.append(msgspec.Raw(data))
 
     def add_from_hub(self, works, fars):
         """Keep what another hub told all, for this one's clients."""
-        self._works_of_hubs += works
-        self._fars_of_hubs += fars
+        self._client_host_updates += works
+        self._client_data_centre_updates += fars
 
-    def add_asked(self, centre, hosts, rows):
+    def add_quotas(self, centre, hosts, rows):
         """Keep what workspaces asked of another data centre, for the clients."""
-        _, newest = self._asked.get(centre, (0, {}))
+        _, newest = self._quotas.get(centre, (0, {}))
         newest.update((row[0], row) for row in rows)
-        self._asked[centre] = (hosts, newest)
+        self._quotas[centre] = (hosts, newest)
 
-    def take(self, sums):
+    def drain(self, sums):
         """
         Return what is to be told, and forget it.
 
@@ -76,12 +76,14 @@
         Returns:
           The datagrams for all hosts, and those for clients besides.
         """
-        works = list(itertools.chain.from_iterable(self._works.values()))
-        for_all = _pack(works, self._fars)
-        for_clients = _pack(self._works_of_hubs, self._fars_of_hubs)
+        works = list(itertools.chain.from_iterable(self._host_updates.values()))
+        for_all = _encode_bundles(works, self._data_centre_updates)
+        for_clients = _encode_bundles(
+            self._client_host_updates, self._client_data_centre_updates
+        )
         asked = [
             DataCentreQuotas(centre, hosts, list(rows.values()))
-            for centre, (hosts, rows) in self._asked.items()
+            for centre, (hosts, rows) in self._quotas.items()
         ]
         has_sums = sums is not None and bool(sums.centres)
         if has_sums or any(centre.rows for centre in asked):
@@ -89,19 +91,19 @@
             if has_sums:
                 bundle.centres, bundle.load = list(sums.centres), sums.counts
             for_clients.append(encode_bundle(bundle))
-            self._asked = {}
-        self._works, self._fars = {}, []
-        self._works_of_hubs, self._fars_of_hubs = [], []
+            self._quotas = {}
+        self._host_updates, self._data_centre_updates = {}, []
+        self._client_host_updates, self._client_data_centre_updates = [], []
         return for_all, for_clients
 
 
-def _pack(works, fars):
+def _encode_bundles(works, fars):
     """Return the datagrams of encoded messages, none longer than needs be."""
     datagrams = []
     bundle, size = Bundle(works=[], fars=[]), 0
     rows = [(True, raw) for raw in works] + [(False, raw) for raw in fars]
     for is_work, raw in rows:
-        if size and size + len(raw) > BUNDLE_MOST:
+        if size and size + len(raw) > MAX_BUNDLE_SIZE:
             datagrams.append(encode_bundle(bundle))
             bundle, size = Bundle(works=[], fars=[]), 0
         (bundle.works if is_work else bundle.fars).append(raw)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -28,7 +28,7 @@
 from plumsaddle_core.ops.pacing import SendPacer
 
 from ..utils.addresses import split_address
-from .bundles import Collected
+from .bundles import BundleBuffer
 from .clock import now
 from .messages import (
     Bundle,
@@ -110,7 +110,7 @@
         self._remote = OtherCentres(
             settings, shared, self._incarnation, self._send, rng
         )
-        self._buffer = Collected()
+        self._buffer = BundleBuffer()
         self._handler = Taking(
             settings,
             shared,
@@ -294,7 +294,7 @@
             self._sent_at.pop(self._number - MAX_PENDING_ECHOES, None)
             self._send(data, self._peer_table.hub)
         if self._is_forwarding(at):
-            self._buffer.add_work(self._settings.id, data)
+            self._buffer.add_host_update(self._settings.id, data)
             self._send_bundle(at)
 
     def _make_update(self, at, beat):
@@ -338,7 +338,7 @@
         if self._is_load_total_due(at):
             self._load_total_sent_at = at
             sums = self._shared.remote_load_total(at)
-        for_all, for_clients = self._buffer.take(sums)
+        for_all, for_clients = self._buffer.drain(sums)
         everyone = self._peer_table.addresses()
         clients = self._buffer.clients(at)
         for data in for_all:
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -22,7 +22,7 @@
 
 from ..platform.store import KeyedRecord, Page
 from . import peers as module
-from .bundles import CLIENT_FOR
+from .bundles import CLIENT_TTL
 from .gate import StoreAccess
 from .messages import Bundle, HostUpdate, Records, decode, decode_records
 from .others import HUB_KNOWN_FOR
@@ -513,7 +513,7 @@
     """
     hosts = [net.add(f"x{n}", "x", ("10.0.0.1:7000",)) for n in range(count)]
     # Until those that were hubs while the hosts found each other have no clients left.
-    net.play(4.0 + CLIENT_FOR)
+    net.play(4.0 + CLIENT_TTL)
     hub = _hub(net, hosts)
     net.sent.clear()
     for peers, shared, address in hosts:
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -103,7 +103,7 @@
             runs_known = self._shared.suspects.local_record_count
             limits_known = self._shared.limits.advertised.revision
             if self._take_work(message, at):
-                self._buffer.add_work(message.host, data)
+                self._buffer.add_host_update(message.host, data)
                 is_calm = all(row[4] in DEFERRABLE_OUTCOMES for row in message.outcomes)
                 has_runs = self._shared.suspects.local_record_count > runs_known
                 has_limits = self._shared.limits.advertised.revision != limits_known
@@ -230,7 +230,7 @@
         is_for_hub, far.is_passed_on = not far.is_passed_on, True
         if self._callbacks.is_hub(at):
             if is_news:
-                self._buffer.add_far(encode(far))
+                self._buffer.add_data_centre_update(encode(far))
                 # What was seen elsewhere says less of a target than what is seen here,
                 # and four other data centres tell far more of it: it can wait.
                 self._callbacks.send_soon(is_urgent=False)
@@ -244,7 +244,7 @@
         if self._picked_itself():
             self._shared.apply_remote_load(to_remote_load(load), at)
             self._take_asked(load.centre, load.hosts, load.quotas, at)
-            self._buffer.add_asked(load.centre, load.hosts, load.quotas)
+            self._buffer.add_quotas(load.centre, load.hosts, load.quotas)
             if load.quotas and self._buffer.clients(at):
                 self._callbacks.send_soon(is_urgent=False)
         elif not load.is_passed_on:
