--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -5,16 +5,16 @@
 from plumsaddle_core.core.parts import Feature
 
 from .messages import DataCentreLoad, DataCentreUpdate, encode
-from .strangers import Strangers
+from .strangers import RemoteHosts
 
 # The address that spoke for another data centre last is taken for its hub this long
 # (seconds); it speaks ten times a second.
-HUB_KNOWN_FOR = 1.0
+REMOTE_HUB_TTL = 1.0
 # Rate limits of targets that are told again each second, others each time.
-LIMITS_REPEATED = 20
+REMOTE_ANTI_ENTROPY_ROWS = 20
 
 
-class OtherCentres:
+class RemoteSender:
     """
     The other data centres, as the host that speaks for one of them knows them.
 
@@ -29,27 +29,27 @@
     def __init__(self, settings, shared, life, send, rng):
         self._settings = settings
         self._shared = shared
-        self._life = life
+        self._incarnation = life
         self._send = send
         self._rng = rng
-        self._hubs = {}
+        self._remote_hubs = {}
         self._load_number = 0
-        self._runs_told = 0
-        self.strangers = Strangers(settings, rng)
+        self._sent_record_count = 0
+        self.remote_hosts = RemoteHosts(settings, rng)
 
     @property
-    def has_urgent_news(self):
+    def has_urgent_update(self):
         """Whether something was seen here that makes a target or a request worse."""
-        has_runs = self._shared.suspects.local_record_count != self._runs_told
+        has_runs = self._shared.suspects.local_record_count != self._sent_record_count
         has_limits = self._shared.limits.advertised.has_remote_pending
         return has_runs or has_limits or self._shared.evidence.has_unsent
 
-    def note_hub(self, centre, address, at):
+    def note_remote_hub(self, centre, address, at):
         """Note which host has spoken for another data centre."""
-        self.strangers.remember(centre, address, at)
-        self._hubs[centre] = (address, at)
+        self.remote_hosts.add(centre, address, at)
+        self._remote_hubs[centre] = (address, at)
 
-    def tell_news(self, used, at):
+    def send_update(self, used, at):
         """
         Tell evidence that was not told yet, and which targets were used.
 
@@ -60,7 +60,7 @@
         settings = self._settings
         suspects = self._shared.suspects
         runs = [tuple(note) for note in suspects.local_records(at)]
-        self._runs_told = suspects.local_record_count
+        self._sent_record_count = suspects.local_record_count
         evidence = [
             (e.number, e.target, round(e.ratio, 3))
             for e in self._shared.evidence.next_batch()
@@ -70,21 +70,21 @@
         limits = self._limit_rows(is_periodic=bool(used))
         if evidence or used or runs or limits:
             far = DataCentreUpdate(
-                settings.id, self._life, settings.data_centre, evidence, used
+                settings.id, self._incarnation, settings.data_centre, evidence, used
             )
             far.runs = runs
             far.limits = limits
-            self._send_to_each(encode(far), at)
+            self._send_to_data_centres(encode(far), at)
 
     def _limit_rows(self, is_periodic):
         """Return targets' rate limits to tell: what changed, and at times others."""
         named = self._shared.limits.advertised
         rows = named.remote_rows()
         if is_periodic:
-            rows += named.anti_entropy_rows(LIMITS_REPEATED, self._rng)
+            rows += named.anti_entropy_rows(REMOTE_ANTI_ENTROPY_ROWS, self._rng)
         return [tuple(row) for row in rows]
 
-    def tell_load(self, at):
+    def send_load(self, at):
         """Tell what the hosts of this data centre have in flight."""
         settings = self._settings
         if Feature.REMOTE_LOAD in settings.disabled_features:
@@ -93,18 +93,18 @@
         load = DataCentreLoad(
             settings.data_centre,
             settings.id,
-            self._life,
+            self._incarnation,
             self._load_number,
             self._shared.local_load(),
             hosts=tuple(self._shared.quotas.local_hosts()),
             quotas=[tuple(row) for row in self._shared.quotas.remote_rows(at)],
         )
-        self._send_to_each(encode(load), at)
+        self._send_to_data_centres(encode(load), at)
 
-    def _send_to_each(self, data, at):
+    def _send_to_data_centres(self, data, at):
         """Send to one host of each other data centre, its hub if that is known."""
-        for centre, strangers in self.strangers.some(at).items():
-            address, heard_at = self._hubs.get(centre, (None, 0.0))
-            if at - heard_at >= HUB_KNOWN_FOR:
+        for centre, strangers in self.remote_hosts.sample(at).items():
+            address, heard_at = self._remote_hubs.get(centre, (None, 0.0))
+            if at - heard_at >= REMOTE_HUB_TTL:
                 address = self._rng.choice(strangers)
             self._send(data, address)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -38,7 +38,7 @@
     decode,
     encode,
 )
-from .others import OtherCentres
+from .others import RemoteSender
 from .readers import Readers
 from .taking import Taking, Ways
 
@@ -107,7 +107,7 @@
         self._sent_at = {}
         self._peer_table = PeerTable(settings.peer_address, settings.link_rate)
         self._reader_role = Readers(gate, feeds, self._peer_table, self._send)
-        self._remote = OtherCentres(
+        self._remote = RemoteSender(
             settings, shared, self._incarnation, self._send, rng
         )
         self._buffer = BundleBuffer()
@@ -179,13 +179,13 @@
         self._pick_hub(at)
         self._send_update(at, self._make_heartbeat(at))
         if self._is_hub() and self._may_act_alone(at):
-            self._remote.tell_news(
+            self._remote.send_update(
                 self._shared.tags_used_since(at - REMOTE_UPDATE_INTERVAL), at
             )
         else:
             # The hub tells it for all.
             self._shared.evidence.next_batch()
-        if not len(self._peer_table) or self._remote.strangers.are_few(at):
+        if not len(self._peer_table) or self._remote.remote_hosts.needs_more(at):
             self._send_hello(at)
 
     def _make_heartbeat(self, at):
@@ -195,7 +195,7 @@
             # one to each other for ever.
             live = self._peer_table.live(at)
             members = self._rng.sample(live, min(HOSTS_PER_HEARTBEAT, len(live)))
-            strangers = self._remote.strangers.some(at)
+            strangers = self._remote.remote_hosts.sample(at)
         return Heartbeat(
             self._settings.link_rate or 0.0,
             self._reader_role.contact(at),
@@ -210,7 +210,7 @@
         settings = self._settings
         hello = encode(Hello(settings.id, settings.data_centre, settings.peer_address))
         asked = set(settings.seeds)
-        for strangers in self._remote.strangers.some(at).values():
+        for strangers in self._remote.remote_hosts.sample(at).values():
             asked.update(strangers)
         for address in asked - {settings.peer_address}:
             self._send(hello, address)
@@ -233,7 +233,7 @@
                 # Its clients hear it directly.
                 self._shared.limits.membership.note_delivered(at)
             if self._may_act_alone(at):
-                self._remote.tell_load(at)
+                self._remote.send_load(at)
         elif not self._buffer.clients(at):
             return TICK_INTERVAL
         if at - self._bundle_sent_at >= HUB_SEND_INTERVAL:
@@ -332,8 +332,8 @@
 
     def _send_bundle(self, at):
         """Tell all hosts what this one was told as a hub."""
-        if self._is_hub() and self._remote.has_urgent_news:
-            self._remote.tell_news([], at)
+        if self._is_hub() and self._remote.has_urgent_update:
+            self._remote.send_update([], at)
         sums = None
         if self._is_load_total_due(at):
             self._load_total_sent_at = at
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -25,7 +25,7 @@
 from .bundles import CLIENT_TTL
 from .gate import StoreAccess
 from .messages import Bundle, HostUpdate, Records, decode, decode_records
-from .others import HUB_KNOWN_FOR
+from .others import REMOTE_HUB_TTL
 from .peers import DISCOVERY_PERIOD, HUB_SEND_INTERVAL, PeerProtocol
 
 CENTRES = ("x", "y")
@@ -270,9 +270,9 @@
     """
     hosts = _fleet(net)
     for peers, _, _ in hosts:
-        assert peers._remote.strangers.some(net.at)
+        assert peers._remote.remote_hosts.sample(net.at)
     net.cut.add(hosts[3][2])
-    net.play(HUB_KNOWN_FOR + 0.1)
+    net.play(REMOTE_HUB_TTL + 0.1)
     peers, shared, _ = hosts[1]
     for number in range(40):
         shared.note_outcome(
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -36,7 +36,7 @@
     to_remote_load_total,
     to_remote_update,
 )
-from .strangers import STRANGERS_NAMED
+from .strangers import HOSTS_PER_MESSAGE
 
 log = logging.getLogger("peers")
 # Members that an answer to a newcomer names. One that knows the hub hears of all others
@@ -120,7 +120,7 @@
             self._take_load(message, address, at)
         elif isinstance(message, Members):
             self._learn(message.addresses, at)
-            self._remote.strangers.learn(message.strangers, at)
+            self._remote.remote_hosts.add_candidates(message.remote_hosts, at)
         else:
             self._take_hello(message, address, at)
 
@@ -153,7 +153,7 @@
     def _take_beat(self, beat, address, at):
         self._peer_table.update(address, beat.link, beat.contact)
         self._learn(beat.members, at)
-        self._remote.strangers.learn(beat.strangers, at)
+        self._remote.remote_hosts.add_candidates(beat.remote_hosts, at)
         self._reader_role.take_beat(beat, at)
 
     def _take_bundle(self, bundle, address, at):
@@ -225,7 +225,7 @@
     def _take_far(self, far, address, at):
         """Take news from elsewhere, and pass it on."""
         if not far.is_passed_on:
-            self._remote.note_hub(far.centre, address, at)
+            self._remote.note_remote_hub(far.centre, address, at)
         is_news = self._take_far_news(far, at)
         is_for_hub, far.is_passed_on = not far.is_passed_on, True
         if self._callbacks.is_hub(at):
@@ -240,7 +240,7 @@
     def _take_load(self, load, address, at):
         """Take the work in flight elsewhere as the hub, or pass it on to the hub."""
         if not load.is_passed_on:
-            self._remote.note_hub(load.centre, address, at)
+            self._remote.note_remote_hub(load.centre, address, at)
         if self._picked_itself():
             self._shared.apply_remote_load(to_remote_load(load), at)
             self._take_asked(load.centre, load.hosts, load.quotas, at)
@@ -253,15 +253,15 @@
 
     def _take_hello(self, hello, address, at):
         """Answer a host that looks for others of its data centre."""
-        strangers = self._remote.strangers.some(at)
+        strangers = self._remote.remote_hosts.sample(at)
         if hello.centre == self._settings.data_centre:
             known = self._peer_table.addresses()
             self._peer_table.add_candidate(address, at)
         else:
-            known = self._remote.strangers.of(hello.centre, at)
-            self._remote.strangers.remember(hello.centre, address, at)
+            known = self._remote.remote_hosts.live(hello.centre, at)
+            self._remote.remote_hosts.add(hello.centre, address, at)
             own = [*self._peer_table.addresses(), self._settings.peer_address]
-            strangers[self._settings.data_centre] = own[-STRANGERS_NAMED:]
+            strangers[self._settings.data_centre] = own[-HOSTS_PER_MESSAGE:]
         known = [a for a in known if a != address]
         self._callbacks.send(encode(Members(known[:NAMED_MOST], strangers)), address)
 
