--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -39,7 +39,7 @@
     encode,
 )
 from .others import RemoteSender
-from .readers import Readers
+from .readers import ReaderRole
 from .taking import Taking, Ways
 
 log = logging.getLogger("peers")
@@ -106,7 +106,7 @@
         # When the last messages to the hub were sent, by number.
         self._sent_at = {}
         self._peer_table = PeerTable(settings.peer_address, settings.link_rate)
-        self._reader_role = Readers(gate, feeds, self._peer_table, self._send)
+        self._reader_role = ReaderRole(gate, feeds, self._peer_table, self._send)
         self._remote = RemoteSender(
             settings, shared, self._incarnation, self._send, rng
         )
@@ -199,8 +199,8 @@
         return Heartbeat(
             self._settings.link_rate or 0.0,
             self._reader_role.contact(at),
-            self._reader_role.read(at),
-            self._reader_role.returned(at),
+            self._reader_role.read_offsets(at),
+            self._reader_role.recovery_age(at),
             members,
             strangers,
         )
@@ -373,7 +373,7 @@
         if not self._reader_role.is_reader:
             return
         if page.records:
-            self._reader_role.tell_records(topic, page)
+            self._reader_role.send_records(topic, page)
         self._send_update(at, self._make_heartbeat(at))
 
     def _send(self, data, *addresses):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
@@ -12,10 +12,10 @@
 
 log = logging.getLogger("peers")
 # A return of the store that is longer ago than this (seconds) is not told any more.
-RETURNED_MOST = 60.0
+MAX_RECOVERY_AGE = 60.0
 
 
-class Readers:
+class ReaderRole:
     """
     The data centre's readers, as one host that may be one of them sees them.
 
@@ -59,7 +59,7 @@
         """Whether this host follows the store for the others."""
         return self._gate.is_reader
 
-    def read(self, at):
+    def read_offsets(self, at):
         """
         Return how far this host has read, as beats tell it.
 
@@ -75,11 +75,11 @@
             if feed.confirmed_at > -math.inf
         }
 
-    def returned(self, at):
+    def recovery_age(self, at):
         """Return how many seconds ago the store came back for this host."""
-        return min(RETURNED_MOST, max(0.0, at - self._gate.recovered_at))
+        return min(MAX_RECOVERY_AGE, max(0.0, at - self._gate.recovered_at))
 
-    def tell_records(self, topic, page):
+    def send_records(self, topic, page):
         """
         Send changes to all other hosts.
 
@@ -93,25 +93,25 @@
         if packed is None:
             log.info("long records", extra={"topic": topic, "at": start})
             return
-        returned = self.returned(now())
+        returned = self.recovery_age(now())
         records = Records(topic, start, page.next_offset, returned, packed)
         self._send(encode(records), *self._peer_table.addresses())
 
     # What the others make of it.
 
-    def take_records(self, message, at):
+    def apply_records(self, message, at):
         """Take changes of the store from a reader."""
         feed = self._feeds.get(message.topic)
         if feed is None:
             return
         records = decode_records(message.packed)
-        self._gate.note_recovery(at - message.returned)
+        self._gate.note_recovery(at - message.recovery_age)
         feed.apply_page(message.start, records, message.next, at)
 
-    def take_beat(self, beat, at):
+    def apply_heartbeat(self, beat, at):
         """Take what a beat says of the store."""
         if beat.contact is StoreStatus.READING:
-            self._gate.note_recovery(at - beat.returned)
-        for topic, (offset, age) in beat.read.items():
+            self._gate.note_recovery(at - beat.recovery_age)
+        for topic, (offset, age) in beat.read_offsets.items():
             if topic in self._feeds:
                 self._feeds[topic].note_reader_offset(offset, age, at)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -113,7 +113,7 @@
         elif isinstance(message, CompressedBundle):
             self._take_bundle(decompress_bundle(message), address, at)
         elif isinstance(message, Records):
-            self._reader_role.take_records(message, at)
+            self._reader_role.apply_records(message, at)
         elif isinstance(message, DataCentreUpdate):
             self._take_far(message, address, at)
         elif isinstance(message, DataCentreLoad):
@@ -154,7 +154,7 @@
         self._peer_table.update(address, beat.link, beat.contact)
         self._learn(beat.members, at)
         self._remote.remote_hosts.add_candidates(beat.remote_hosts, at)
-        self._reader_role.take_beat(beat, at)
+        self._reader_role.apply_heartbeat(beat, at)
 
     def _take_bundle(self, bundle, address, at):
         """Take what a hub tells, and pass it on to hosts that tell this one."""
