--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -40,7 +40,7 @@
 )
 from .others import RemoteSender
 from .readers import ReaderRole
-from .taking import Taking, Ways
+from .taking import Callbacks, MessageHandler
 
 log = logging.getLogger("peers")
 # Members that a hub's beat names, drawn anew each time.
@@ -111,14 +111,14 @@
             settings, shared, self._incarnation, self._send, rng
         )
         self._buffer = BundleBuffer()
-        self._handler = Taking(
+        self._handler = MessageHandler(
             settings,
             shared,
             self._peer_table,
             self._reader_role,
             self._remote,
             self._buffer,
-            Ways(
+            Callbacks(
                 lambda data, *addresses: self._send(data, *addresses),
                 self._schedule_send,
                 self._is_forwarding,
@@ -397,7 +397,7 @@
     def datagram_received(self, data, sender):
         address = f"{sender[0]}:{sender[1]}"
         try:
-            self._handler.take(decode(data), data, address, now())
+            self._handler.handle(decode(data), data, address, now())
         except msgspec.DecodeError as exc:
             log.warning("unreadable", extra={"peer": address, "cause": str(exc)})
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -41,10 +41,10 @@
 log = logging.getLogger("peers")
 # Members that an answer to a newcomer names. One that knows the hub hears of all others
 # within a second.
-NAMED_MOST = 64
+MAX_NAMED_HOSTS = 64
 
 
-class Ways(NamedTuple):
+class Callbacks(NamedTuple):
     """
     How a host tells others.
 
@@ -54,12 +54,12 @@
     """
 
     send: Callable
-    send_soon: Callable
-    is_hub: Callable
-    echo_of: Callable
+    schedule_send: Callable
+    is_forwarding: Callable
+    sent_time: Callable
 
 
-class Taking:
+class MessageHandler:
     """
     The taking part of a host's datagram socket.
 
@@ -82,11 +82,11 @@
         self._buffer = collected
         self._callbacks = ways
 
-    def _picked_itself(self):
+    def _is_hub(self):
         """Whether this host is the hub as far as it knows."""
         return self._peer_table.hub is None
 
-    def take(self, message, data, address, at):
+    def handle(self, message, data, address, at):
         """
         Take a message.
 
@@ -102,32 +102,32 @@
             self._buffer.note_client(address, at)
             runs_known = self._shared.suspects.local_record_count
             limits_known = self._shared.limits.advertised.revision
-            if self._take_work(message, at):
+            if self._apply_host_update(message, at):
                 self._buffer.add_host_update(message.host, data)
                 is_calm = all(row[4] in DEFERRABLE_OUTCOMES for row in message.outcomes)
                 has_runs = self._shared.suspects.local_record_count > runs_known
                 has_limits = self._shared.limits.advertised.revision != limits_known
-                self._callbacks.send_soon(has_runs or has_limits or not is_calm)
+                self._callbacks.schedule_send(has_runs or has_limits or not is_calm)
         elif isinstance(message, Bundle):
-            self._take_bundle(message, address, at)
+            self._handle_bundle(message, address, at)
         elif isinstance(message, CompressedBundle):
-            self._take_bundle(decompress_bundle(message), address, at)
+            self._handle_bundle(decompress_bundle(message), address, at)
         elif isinstance(message, Records):
             self._reader_role.apply_records(message, at)
         elif isinstance(message, DataCentreUpdate):
-            self._take_far(message, address, at)
+            self._handle_data_centre_update(message, address, at)
         elif isinstance(message, DataCentreLoad):
-            self._take_load(message, address, at)
+            self._handle_load(message, address, at)
         elif isinstance(message, Members):
-            self._learn(message.addresses, at)
+            self._add_candidates(message.addresses, at)
             self._remote.remote_hosts.add_candidates(message.remote_hosts, at)
         else:
-            self._take_hello(message, address, at)
+            self._handle_hello(message, address, at)
 
-    def _take_work(self, work, at):
+    def _apply_host_update(self, work, at):
         """Take a host's work, and return whether it was news."""
         if work.host == self._settings.id:
-            self._take_echo(work, at)
+            self._note_echo(work, at)
             return False
         if not is_address(work.address):
             return False
@@ -135,28 +135,28 @@
         # on what its clients said seconds ago.
         if not self._shared.apply_update(to_peer_update(work), at):
             return False
-        self._peer_table.note_message(work.address, at)
-        self._take_runs(work.runs, True, at)
-        self._take_limits(work.limits, work.host, True, at)
+        self._peer_table.note_heard(work.address, at)
+        self._add_run_records(work.runs, True, at)
+        self._merge_limits(work.limits, work.host, True, at)
         self._shared.quotas.merge_local(work.host, work.life, work.quotas, at)
         if work.beat is not None:
-            self._take_beat(work.beat, work.address, at)
+            self._apply_heartbeat(work.beat, work.address, at)
         return True
 
-    def _take_echo(self, work, at):
+    def _note_echo(self, work, at):
         """Take what a hub passes on of this host's own."""
-        sent_at = self._callbacks.echo_of(work)
+        sent_at = self._callbacks.sent_time(work)
         if sent_at is not None:
             self._peer_table.note_echo(sent_at, at)
             self._shared.limits.membership.note_delivered(sent_at)
 
-    def _take_beat(self, beat, address, at):
+    def _apply_heartbeat(self, beat, address, at):
         self._peer_table.update(address, beat.link, beat.contact)
-        self._learn(beat.members, at)
+        self._add_candidates(beat.members, at)
         self._remote.remote_hosts.add_candidates(beat.remote_hosts, at)
         self._reader_role.apply_heartbeat(beat, at)
 
-    def _take_bundle(self, bundle, address, at):
+    def _handle_bundle(self, bundle, address, at):
         """Take what a hub tells, and pass it on to hosts that tell this one."""
         self._peer_table.note_message(address, at)
         self._peer_table.note_hub_message(address, at)
@@ -164,47 +164,47 @@
         works = [
             raw
             for raw, work in _decode_each(bundle.works, decode_host_update, address)
-            if self._take_work(work, at)
+            if self._apply_host_update(work, at)
         ]
         fars = [
             raw
             for raw, far in _decode_each(
                 bundle.fars, decode_data_centre_update, address
             )
-            if self._take_far_news(far, at)
+            if self._apply_data_centre_update(far, at)
         ]
         sums = to_remote_load_total(bundle)
-        if sums is not None and not self._picked_itself():
+        if sums is not None and not self._is_hub():
             self._shared.apply_remote_load_total(sums, at)
-        if not self._picked_itself():
+        if not self._is_hub():
             for asked in bundle.asked:
-                self._take_asked(asked.centre, asked.hosts, asked.rows, at)
+                self._merge_quotas(asked.centre, asked.hosts, asked.rows, at)
         if (works or fars) and self._buffer.clients(at):
             self._buffer.add_from_hub(works, fars)
-            self._callbacks.send_soon(is_urgent=False)
+            self._callbacks.schedule_send(is_urgent=False)
 
-    def _take_asked(self, centre, hosts, rows, at):
+    def _merge_quotas(self, centre, hosts, rows, at):
         """Take what workspaces asked of another data centre."""
         if centre != self._settings.data_centre:
             self._shared.quotas.merge_remote(centre, HostCount(*hosts), rows, at)
 
-    def _take_far_news(self, far, at):
+    def _apply_data_centre_update(self, far, at):
         """Take news of another data centre, and return whether it was any."""
-        has_runs = self._take_runs(far.runs, False, at)
-        has_limits = self._take_limits(far.limits, far.host, False, at)
+        has_runs = self._add_run_records(far.runs, False, at)
+        has_limits = self._merge_limits(far.limits, far.host, False, at)
         return (
             self._shared.apply_remote_update(to_remote_update(far), at)
             or has_runs
             or has_limits
         )
 
-    def _take_runs(self, rows, is_near, at):
+    def _add_run_records(self, rows, is_near, at):
         """Take what became of targets under requests; return whether it was news."""
         suspects = self._shared.suspects
         news = [suspects.add(RunRecord(*row), at, is_local=is_near) for row in rows]
         return any(news)
 
-    def _take_limits(self, rows, host, is_near, at):
+    def _merge_limits(self, rows, host, is_near, at):
         """Take rate limits that targets named to others; return whether any is new."""
         limits = self._shared.limits.advertised
         has_news = False
@@ -222,36 +222,36 @@
             log.info("rate limit", extra={**extra, "peer": host})
         return has_news
 
-    def _take_far(self, far, address, at):
+    def _handle_data_centre_update(self, far, address, at):
         """Take news from elsewhere, and pass it on."""
         if not far.is_passed_on:
             self._remote.note_remote_hub(far.centre, address, at)
-        is_news = self._take_far_news(far, at)
+        is_news = self._apply_data_centre_update(far, at)
         is_for_hub, far.is_passed_on = not far.is_passed_on, True
-        if self._callbacks.is_hub(at):
+        if self._callbacks.is_forwarding(at):
             if is_news:
                 self._buffer.add_data_centre_update(encode(far))
                 # What was seen elsewhere says less of a target than what is seen here,
                 # and four other data centres tell far more of it: it can wait.
-                self._callbacks.send_soon(is_urgent=False)
+                self._callbacks.schedule_send(is_urgent=False)
         elif is_for_hub:
             self._callbacks.send(encode(far), self._peer_table.hub)
 
-    def _take_load(self, load, address, at):
+    def _handle_load(self, load, address, at):
         """Take the work in flight elsewhere as the hub, or pass it on to the hub."""
         if not load.is_passed_on:
             self._remote.note_remote_hub(load.centre, address, at)
-        if self._picked_itself():
+        if self._is_hub():
             self._shared.apply_remote_load(to_remote_load(load), at)
-            self._take_asked(load.centre, load.hosts, load.quotas, at)
+            self._merge_quotas(load.centre, load.hosts, load.quotas, at)
             self._buffer.add_quotas(load.centre, load.hosts, load.quotas)
             if load.quotas and self._buffer.clients(at):
-                self._callbacks.send_soon(is_urgent=False)
+                self._callbacks.schedule_send(is_urgent=False)
         elif not load.is_passed_on:
             load.is_passed_on = True
             self._callbacks.send(encode(load), self._peer_table.hub)
 
-    def _take_hello(self, hello, address, at):
+    def _handle_hello(self, hello, address, at):
         """Answer a host that looks for others of its data centre."""
         strangers = self._remote.remote_hosts.sample(at)
         if hello.centre == self._settings.data_centre:
@@ -263,9 +263,11 @@
             own = [*self._peer_table.addresses(), self._settings.peer_address]
             strangers[self._settings.data_centre] = own[-HOSTS_PER_MESSAGE:]
         known = [a for a in known if a != address]
-        self._callbacks.send(encode(Members(known[:NAMED_MOST], strangers)), address)
+        self._callbacks.send(
+            encode(Members(known[:MAX_NAMED_HOSTS], strangers)), address
+        )
 
-    def _learn(self, addresses, at):
+    def _add_candidates(self, addresses, at):
         """Take hosts that were named; they stay only if they are heard."""
         for address in addresses:
             if is_address(address):
