--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/bundles.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/bundles.py
@@ -1,5 +1,5 @@
 """
-What a hub has been told and has not yet told the others.
+Updates that a hub has received and not yet forwarded.
 """
 
 import itertools
@@ -9,24 +9,24 @@
 
 from .messages import Bundle, DataCentreQuotas, encode_bundle
 
-# Seconds since a host's last message after which it is no client of this hub any more;
-# clients beat once a second.
+# A host that sent this hub nothing for this long (seconds) is no longer its client.
+# Heartbeats are sent once a second.
 CLIENT_TTL = 2.5
-# Messages of one host that wait for the next bundle. Each states all of its work, and
-# outcomes are told in two messages each, so the last two say nearly all; with more, a
-# hub behind a small link would fall behind for ever.
+# Updates kept per host until the next bundle. Older ones are dropped, so a hub with a
+# slow link doesn't fall behind. Little is lost: each update holds the host's complete
+# in-flight table, and each outcome is sent in two updates.
 MAX_UPDATES_PER_HOST = 2
-# Bytes of messages that go into one datagram. Compressed, they fit into one packet, so
-# that links that lose packets lose no more of these than of short datagrams.
+# Bytes of updates per datagram. Compressed, they fit into one packet, so packet loss
+# affects bundles no more than short datagrams.
 MAX_BUNDLE_SIZE = 4_000
 
 
 class BundleBuffer:
     """
-    Messages for all hosts, and those for this host's own clients alone.
+    Updates to forward to all hosts, and those to forward to this hub's clients only.
 
-    What clients say goes to all. What other hubs say has gone to all hosts that those
-    know, so it goes on only to clients, which may not hear these hubs.
+    Updates from clients go to all hosts. Another hub has sent its updates to all hosts
+    that it knows, so they go only to clients, which may not receive from that hub.
     """
 
     def __init__(self):
@@ -38,75 +38,84 @@
         self._quotas = {}
 
     def note_client(self, address, now):
-        """Note that a host has told this one as its hub."""
+        """Record that a host has sent an update to this one as its hub."""
         self._clients[address] = now
 
     def clients(self, now):
-        """Return the addresses of the hosts that tell this one as their hub."""
+        """Return the addresses of the hosts that use this one as their hub."""
         heard = self._clients.items()
         self._clients = {a: at for a, at in heard if now - at < CLIENT_TTL}
         return list(self._clients)
 
     def add_host_update(self, host, data):
-        """Keep a host's encoded `Work` for all."""
-        works = self._host_updates.setdefault(host, deque(maxlen=MAX_UPDATES_PER_HOST))
-        works.append(msgspec.Raw(data))
+        """Add a host's encoded `HostUpdate`, to be sent to all hosts."""
+        host_updates = self._host_updates.setdefault(
+            host, deque(maxlen=MAX_UPDATES_PER_HOST)
+        )
+        host_updates.append(msgspec.Raw(data))
 
     def add_data_centre_update(self, data):
-        """Keep an encoded `Far` for all."""
+        """Add an encoded `DataCentreUpdate`, to be sent to all hosts."""
         self._data_centre_updates.append(msgspec.Raw(data))
 
-    def add_from_hub(self, works, fars):
-        """Keep what another hub told all, for this one's clients."""
-        self._client_host_updates += works
-        self._client_data_centre_updates += fars
+    def add_from_hub(self, host_updates, data_centre_updates):
+        """Add encoded updates of another hub's bundle, to be sent to clients."""
+        self._client_host_updates += host_updates
+        self._client_data_centre_updates += data_centre_updates
 
-    def add_quotas(self, centre, hosts, rows):
-        """Keep what workspaces asked of another data centre, for the clients."""
-        _, newest = self._quotas.get(centre, (0, {}))
+    def add_quotas(self, data_centre, host_count, rows):
+        """Add the quota rows of another data centre, to be sent to clients."""
+        _, newest = self._quotas.get(data_centre, (0, {}))
         newest.update((row[0], row) for row in rows)
-        self._quotas[centre] = (hosts, newest)
+        self._quotas[data_centre] = (host_count, newest)
 
-    def drain(self, sums):
+    def drain(self, load_total):
         """
-        Return what is to be told, and forget it.
+        Remove all updates and return them as datagrams.
 
         Args:
-          sums: The `RemoteLoadTotal` for the clients, or None.
+          load_total: The `RemoteLoadTotal` for the clients, or None.
         Returns:
-          The datagrams for all hosts, and those for clients besides.
+          The datagrams for all hosts, and further ones for clients.
         """
-        works = list(itertools.chain.from_iterable(self._host_updates.values()))
-        for_all = _encode_bundles(works, self._data_centre_updates)
+        host_updates = list(itertools.chain.from_iterable(self._host_updates.values()))
+        for_all_hosts = _encode_bundles(host_updates, self._data_centre_updates)
         for_clients = _encode_bundles(
             self._client_host_updates, self._client_data_centre_updates
         )
-        asked = [
-            DataCentreQuotas(centre, hosts, list(rows.values()))
-            for centre, (hosts, rows) in self._quotas.items()
+        quotas = [
+            DataCentreQuotas(data_centre, host_count, list(rows.values()))
+            for data_centre, (host_count, rows) in self._quotas.items()
         ]
-        has_sums = sums is not None and bool(sums.centres)
-        if has_sums or any(centre.rows for centre in asked):
-            bundle = Bundle(asked=asked)
-            if has_sums:
-                bundle.centres, bundle.load = list(sums.centres), sums.counts
+        has_load_total = load_total is not None and bool(load_total.centres)
+        if has_load_total or any(data_centre.rows for data_centre in quotas):
+            bundle = Bundle(quotas=quotas)
+            if has_load_total:
+                bundle.data_centres, bundle.load = (
+                    list(load_total.centres),
+                    load_total.counts,
+                )
             for_clients.append(encode_bundle(bundle))
             self._quotas = {}
         self._host_updates, self._data_centre_updates = {}, []
         self._client_host_updates, self._client_data_centre_updates = [], []
-        return for_all, for_clients
+        return for_all_hosts, for_clients
 
 
-def _encode_bundles(works, fars):
-    """Return the datagrams of encoded messages, none longer than needs be."""
+def _encode_bundles(host_updates, data_centre_updates):
+    """Return datagrams of encoded updates, each of about MAX_BUNDLE_SIZE at most."""
     datagrams = []
-    bundle, size = Bundle(works=[], fars=[]), 0
-    rows = [(True, raw) for raw in works] + [(False, raw) for raw in fars]
-    for is_work, raw in rows:
+    bundle, size = Bundle(host_updates=[], data_centre_updates=[]), 0
+    rows = [(True, raw) for raw in host_updates] + [
+        (False, raw) for raw in data_centre_updates
+    ]
+    for is_host_update, raw in rows:
         if size and size + len(raw) > MAX_BUNDLE_SIZE:
             datagrams.append(encode_bundle(bundle))
-            bundle, size = Bundle(works=[], fars=[]), 0
-        (bundle.works if is_work else bundle.fars).append(raw)
+            bundle, size = Bundle(host_updates=[], data_centre_updates=[]), 0
+        (bundle.host_updates if is_host_update else bundle.data_centre_updates).append(
+            raw
+        )
         size += len(raw)
     if size:
         datagrams.append(encode_bundle(bundle))
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/bundles_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/bundles_test.py
@@ -16,7 +16,7 @@
 
 def _bundles(datagrams):
     messages = [decode(data) for data in datagrams]
-    return [m if hasattr(m, "works") else decompress_bundle(m) for m in messages]
+    return [m if hasattr(m, "host_updates") else decompress_bundle(m) for m in messages]
 
 
 def test_a_hub_that_may_not_tell_for_a_while_does_not_fall_behind():
@@ -30,7 +30,7 @@
         for host in range(20):
             collected.add_host_update(f"h{host}", _work(f"h{host}", number))
     for_all, _ = collected.drain(None)
-    numbers = [decode(raw).number for b in _bundles(for_all) for raw in b.works]
+    numbers = [decode(raw).number for b in _bundles(for_all) for raw in b.host_updates]
     assert sorted(numbers) == sorted(list(range(200 - MAX_UPDATES_PER_HOST, 200)) * 20)
     assert collected.drain(None) == ([], [])
 
@@ -42,7 +42,7 @@
     for_all, for_clients = collected.drain(RemoteLoadTotal(("y",), {7: 1}))
     assert for_all == []
     works, sums = _bundles(for_clients)
-    assert [decode(raw).host for raw in works.works] == ["h1"]
-    assert (sums.centres, sums.load) == (["y"], {7: 1})
+    assert [decode(raw).host for raw in works.host_updates] == ["h1"]
+    assert (sums.data_centres, sums.load) == (["y"], {7: 1})
     assert collected.clients(1.0 + CLIENT_TTL / 2) == ["10.0.0.2:7000"]
     assert collected.clients(1.1 + CLIENT_TTL) == []
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
@@ -1,5 +1,5 @@
 """
-The datagrams that hosts tell each other, and their codec.
+The messages that hosts send each other as datagrams, and their codec.
 """
 
 import zlib
@@ -21,97 +21,96 @@
 
 from ..platform.store import KeyedRecord
 
-# What other hosts say is checked as it is decoded: one bad number in a message would
-# otherwise spoil sums and beliefs for good.
+# Numbers are validated as they are decoded, since an invalid one would corrupt totals and
+# failure estimates permanently.
 Count = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 Seconds = Annotated[float, msgspec.Meta(ge=0.0, le=86400.0)]
 BytesPerSecond = Annotated[float, msgspec.Meta(ge=0.0, le=1e12)]
 Ratio = Annotated[float, msgspec.Meta(gt=0.0, le=1000.0)]
-# A tag of a workspace, and what was asked and let through of it, as `QuotaRow`.
+# The fields of `QuotaRow`.
 QuotaFields = tuple[Count, Count, Count]
-# A request's key, a life of a target, and whether that ended under it.
+# The fields of `RunRecord`.
 RunFields = tuple[str, str, bool]
-# A target's incarnation, a version, and the rate limit that it names, as `LimitRow`.
+# The fields of `LimitRow`.
 LimitFields = tuple[str, Count, Annotated[float, msgspec.Meta(ge=-1.0, le=1e9)]]
 
 
 class Hello(msgspec.Struct, array_like=True, tag="h"):
-    """A host that looks for the others of its data centre."""
+    """A request for the addresses of the other hosts of the sender's data centre."""
 
     host: str
-    centre: str
+    data_centre: str
     address: str
 
 
 class Members(msgspec.Struct, array_like=True, tag="m"):
-    """Addresses of hosts of the asker's data centre, and of some in each other one."""
+    """An answer to `Hello`: hosts of its data centre, and a few of each other one."""
 
     addresses: list[str]
-    strangers: dict[str, list[str]] = {}
+    remote_hosts: dict[str, list[str]] = {}
 
 
 class Heartbeat(msgspec.Struct, array_like=True):
     """
-    What a host says of itself once a second.
+    A host's own state, sent once a second.
 
-    `link` is what its link carries, in bytes a second. `read` is how far it has read
-    each topic of the store, and how many seconds ago the store said so. `returned` is
-    how many seconds ago the store came back. A hub also names hosts of its data centre,
-    and some of other ones.
+    `link_rate` is in bytes per second. `read_offsets` holds the next offset by topic of
+    the store, and the seconds since the store confirmed it. `recovery_age` is the
+    seconds since the store became available again. A hub also lists `members` of its
+    data centre and a few `remote_hosts` per other data centre.
     """
 
-    link: BytesPerSecond
+    link_rate: BytesPerSecond
     contact: StoreStatus
-    read: dict[str, tuple[Count, Seconds]]
-    returned: Seconds
+    read_offsets: dict[str, tuple[Count, Seconds]]
+    recovery_age: Seconds
     members: list[str] = []
-    strangers: dict[str, list[str]] = {}
+    remote_hosts: dict[str, list[str]] = {}
 
 
 class HostUpdate(msgspec.Struct, array_like=True, tag="w"):
     """
-    A host's work in flight, by tag of target, and its last outcomes.
+    A host's requests in flight by tag of target, and its latest outcomes.
 
-    `address` is the host's own, since a hub passes its message on. `runs` are what
-    became of targets under requests, as `RunRecord`, `quotas` what workspaces asked,
-    and `limits` the rate limits that targets name, as `LimitRow`.
+    `address` is the host's own, since hubs forward updates. `run_records`, `quotas` and
+    `limits` hold the fields of `RunRecord`, `QuotaRow` and `LimitRow`.
     """
 
     host: str
     address: str
-    life: Count
+    incarnation: Count
     number: Count
     in_flight: dict[int, Count]
     outcomes: list[tuple[Count, str, str, str, HealthSignal, Seconds]]
     counts: dict[str, tuple[Count, Count, Count, Count]]
-    beat: Heartbeat | None = None
-    runs: list[RunFields] = []
+    heartbeat: Heartbeat | None = None
+    run_records: list[RunFields] = []
     quotas: list[QuotaFields] = []
     limits: list[LimitFields] = []
 
 
 class DataCentreQuotas(msgspec.Struct, array_like=True):
-    """What workspaces asked of a data centre; `hosts` are heard there, or missing."""
+    """The quota rows of a data centre, and its live and missing host counts."""
 
-    centre: str
-    hosts: tuple[Count, Count]
+    data_centre: str
+    host_count: tuple[Count, Count]
     rows: list[QuotaFields] = []
 
 
 class Bundle(msgspec.Struct, array_like=True, tag="b"):
     """
-    What a hub tells the hosts of its data centre together.
+    Updates that a hub forwards to the hosts of its data centre.
 
-    `works` and `fars` are encoded `Work`s and `Far`s as they came. `centres` are the
-    other data centres whose work in flight is in `load`. `asked` are what workspaces
-    asked of those that were heard since the last bundle.
+    `host_updates` and `data_centre_updates` are encoded messages as received. `load` is
+    the total of requests in flight in the other data centres listed in `data_centres`.
+    `quotas` holds those received since the last bundle.
     """
 
-    works: list[msgspec.Raw] = []
-    fars: list[msgspec.Raw] = []
-    centres: list[str] = []
+    host_updates: list[msgspec.Raw] = []
+    data_centre_updates: list[msgspec.Raw] = []
+    data_centres: list[str] = []
     load: dict[int, Count] = {}
-    asked: list[DataCentreQuotas] = []
+    quotas: list[DataCentreQuotas] = []
 
 
 class CompressedBundle(msgspec.Struct, array_like=True, tag="z"):
@@ -122,47 +121,46 @@
 
 class Records(msgspec.Struct, array_like=True, tag="r"):
     """
-    Changes of a topic of the store, passed on by a reader.
+    Changes of a topic of the store, forwarded by a reader.
 
-    They are all records from offset `start` to before `next`. `returned` is how many
-    seconds ago the store came back.
+    `compressed` holds all records from `start_offset` up to `next_offset`, exclusive.
+    `recovery_age` is the seconds since the store became available again.
     """
 
     topic: str
-    start: Count
-    next: Count
-    returned: Seconds
-    packed: bytes
+    start_offset: Count
+    next_offset: Count
+    recovery_age: Seconds
+    compressed: bytes
 
 
 class DataCentreUpdate(msgspec.Struct, array_like=True, tag="f"):
-    """What hosts of other data centres are told; passed on once in each of them."""
+    """An update for other data centres, forwarded once in each of them."""
 
     host: str
-    life: Count
-    centre: str
+    incarnation: Count
+    data_centre: str
     evidence: list[tuple[Count, str, Ratio]]
-    used: list[int]
-    is_passed_on: bool = False
-    runs: list[RunFields] = []
+    used_tags: list[int]
+    is_forwarded: bool = False
+    run_records: list[RunFields] = []
     limits: list[LimitFields] = []
 
 
 class DataCentreLoad(msgspec.Struct, array_like=True, tag="l"):
     """
-    What all hosts of a data centre have in flight, by tag of target.
+    The total of a data centre's requests in flight, by tag of target.
 
-    `hosts` are how many they are and how many are missing, and `quotas` what workspaces
-    asked of them.
+    `host_count` holds its live and missing hosts, and `quotas` the fields of `QuotaRow`.
     """
 
-    centre: str
+    data_centre: str
     host: str
-    life: Count
+    incarnation: Count
     number: Count
     counts: dict[int, Count]
-    is_passed_on: bool = False
-    hosts: tuple[Count, Count] = (1, 0)
+    is_forwarded: bool = False
+    host_count: tuple[Count, Count] = (1, 0)
     quotas: list[QuotaFields] = []
 
 
@@ -183,47 +181,57 @@
 encode = msgspec.msgpack.Encoder().encode
 
 
-def to_peer_update(work):
-    """Return the `PeerUpdate` of a `Work`."""
-    # Most messages tell neither; hosts take some hundreds of them a second.
+def to_peer_update(update):
+    """Convert a `HostUpdate`."""
+    # A fast path, as most of the hundreds of updates per second contain neither.
     outcomes, counts = (), {}
-    if work.outcomes:
-        outcomes = tuple(OutcomeRecord(*fields) for fields in work.outcomes)
-    if work.counts:
-        counts = {name: Counts(*numbers) for name, numbers in work.counts.items()}
+    if update.outcomes:
+        outcomes = tuple(OutcomeRecord(*fields) for fields in update.outcomes)
+    if update.counts:
+        counts = {name: Counts(*numbers) for name, numbers in update.counts.items()}
     return PeerUpdate(
-        work.host, work.life, work.number, work.in_flight, outcomes, counts
+        update.host,
+        update.incarnation,
+        update.number,
+        update.in_flight,
+        outcomes,
+        counts,
     )
 
 
-def to_remote_update(far):
-    """Return the `RemoteUpdate` of a `Far`."""
-    evidence = tuple(Evidence(*fields) for fields in far.evidence)
-    return RemoteUpdate(far.host, far.life, evidence, tuple(far.used))
+def to_remote_update(update):
+    """Convert a `DataCentreUpdate`."""
+    evidence = tuple(Evidence(*fields) for fields in update.evidence)
+    return RemoteUpdate(
+        update.host, update.incarnation, evidence, tuple(update.used_tags)
+    )
 
 
 def to_remote_load(load):
-    """Return the `RemoteLoad` of a `Load`."""
-    return RemoteLoad(load.centre, load.host, load.life, load.number, load.counts)
+    """Convert a `DataCentreLoad`."""
+    return RemoteLoad(
+        load.data_centre, load.host, load.incarnation, load.number, load.counts
+    )
 
 
 def to_remote_load_total(bundle):
-    """Return the `RemoteLoadTotal` of a `Bundle`, or None if it has none."""
+    """Return the `RemoteLoadTotal` of a `Bundle`, or None."""
     return (
-        RemoteLoadTotal(tuple(bundle.centres), bundle.load) if bundle.centres else None
+        RemoteLoadTotal(tuple(bundle.data_centres), bundle.load)
+        if bundle.data_centres
+        else None
     )
 
 
-# Bundles shorter than this (bytes) are sent as they are. Longer ones name the same
-# hosts, routes and targets again and again and shrink to a third, which fits into one
-# packet and lets a hub with a small link tell more often.
+# Bundles shorter than this (bytes) are not compressed. Longer ones repeat the names of
+# hosts, routes and targets and compress well, often into a single packet.
 MIN_SIZE_TO_COMPRESS = 500
-# Bytes that a message may have unpacked: a configuration has a hundredth of this.
+# Limit of a decompressed message, in bytes.
 MAX_DECOMPRESSED_SIZE = 16_000_000
 
 
 def encode_bundle(bundle):
-    """Return the bytes of a `Bundle`, compressed if it is long."""
+    """Encode a `Bundle`, compressing it if it is long."""
     data = encode(bundle)
     return (
         data
@@ -232,14 +240,14 @@
     )
 
 
-def decompress_bundle(packed):
+def decompress_bundle(compressed):
     """
-    Return the `Bundle` of a `Packed`.
+    Return the `Bundle` in a `CompressedBundle`.
 
     Raises:
-      msgspec.DecodeError: If it cannot be read.
+      msgspec.DecodeError: If the data is invalid.
     """
-    return decode_bundle(_decompress(packed.data))
+    return decode_bundle(_decompress(compressed.data))
 
 
 def _decompress(data):
@@ -249,24 +257,24 @@
         raise msgspec.DecodeError(str(exc)) from exc
 
 
-# Bytes of records that are passed on in one datagram, packed. A link drops a datagram
-# of many packets more easily; what is longer each host reads from the store itself.
+# Compressed bytes of records per datagram. Datagrams of many packets are lost more often,
+# so hosts read longer changes from the store themselves.
 MAX_RECORDS_SIZE = 24_000
 _RecordRows = list[tuple[Count, str, bytes | None]]
 _decode_rows = msgspec.msgpack.Decoder(_RecordRows).decode
 
 
 def encode_records(records):
-    """Return the bytes of a list of `KeyedRecord`, or None if they are too many."""
-    packed = zlib.compress(encode([tuple(record) for record in records]), 1)
-    return packed if len(packed) <= MAX_RECORDS_SIZE else None
+    """Encode and compress `KeyedRecord`s; return None if the result is too long."""
+    compressed = zlib.compress(encode([tuple(record) for record in records]), 1)
+    return compressed if len(compressed) <= MAX_RECORDS_SIZE else None
 
 
-def decode_records(packed):
+def decode_records(compressed):
     """
-    Return the `KeyedRecord`s of `pack_records`.
+    Return the `KeyedRecord`s that `encode_records` encoded.
 
     Raises:
-      msgspec.DecodeError: If they cannot be read.
+      msgspec.DecodeError: If the data is invalid.
     """
-    return [KeyedRecord(*row) for row in _decode_rows(_decompress(packed))]
+    return [KeyedRecord(*row) for row in _decode_rows(_decompress(compressed))]
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -1,5 +1,5 @@
 """
-What a hub tells the hubs of other data centres.
+Updates that a hub sends to other data centres.
 """
 
 from plumsaddle_core.core.parts import Feature
@@ -7,29 +7,29 @@
 from .messages import DataCentreLoad, DataCentreUpdate, encode
 from .strangers import RemoteHosts
 
-# The address that spoke for another data centre last is taken for its hub this long
-# (seconds); it speaks ten times a second.
+# The host of another data centre that sent last is taken for its hub for this long
+# (seconds). Hubs send ten times a second.
 REMOTE_HUB_TTL = 1.0
-# Rate limits of targets that are told again each second, others each time.
+# Rate limits of targets that are sent again each second, drawn at random.
 REMOTE_ANTI_ENTROPY_ROWS = 20
 
 
 class RemoteSender:
     """
-    The other data centres, as the host that speaks for one of them knows them.
+    Sends updates on behalf of this data centre to one host of each other one.
 
     Args:
       settings: The `HostSettings`.
-      shared: The `SharedState` whose news are told.
-      life: The host's life, drawn at its start.
+      shared: The `SharedState` to send updates of.
+      incarnation: The host's incarnation.
       send: Called with bytes and the address to send them to.
-      rng: A `random.Random`, which draws whom to tell while no hub is known.
+      rng: A `random.Random`, which selects receivers while no hub is known.
     """
 
-    def __init__(self, settings, shared, life, send, rng):
+    def __init__(self, settings, shared, incarnation, send, rng):
         self._settings = settings
         self._shared = shared
-        self._incarnation = life
+        self._incarnation = incarnation
         self._send = send
         self._rng = rng
         self._remote_hubs = {}
@@ -39,27 +39,29 @@
 
     @property
     def has_urgent_update(self):
-        """Whether something was seen here that makes a target or a request worse."""
-        has_runs = self._shared.suspects.local_record_count != self._sent_record_count
+        """Whether crashes, rate limits or failure evidence are waiting to be sent."""
+        has_run_records = (
+            self._shared.suspects.local_record_count != self._sent_record_count
+        )
         has_limits = self._shared.limits.advertised.has_remote_pending
-        return has_runs or has_limits or self._shared.evidence.has_unsent
+        return has_run_records or has_limits or self._shared.evidence.has_unsent
 
-    def note_remote_hub(self, centre, address, at):
-        """Note which host has spoken for another data centre."""
-        self.remote_hosts.add(centre, address, at)
-        self._remote_hubs[centre] = (address, at)
+    def note_remote_hub(self, data_centre, address, at):
+        """Record which host has sent on behalf of another data centre."""
+        self.remote_hosts.add(data_centre, address, at)
+        self._remote_hubs[data_centre] = (address, at)
 
-    def send_update(self, used, at):
+    def send_update(self, used_tags, at):
         """
-        Tell evidence that was not told yet, and which targets were used.
+        Send pending evidence, run records and rate limits, and the tags in use.
 
         Args:
-          used: Tags of targets.
-          at: The present, in seconds.
+          used_tags: Tags of targets in use; empty except in the periodic update.
+          at: The current time, in seconds.
         """
         settings = self._settings
         suspects = self._shared.suspects
-        runs = [tuple(note) for note in suspects.local_records(at)]
+        run_records = [tuple(record) for record in suspects.local_records(at)]
         self._sent_record_count = suspects.local_record_count
         evidence = [
             (e.number, e.target, round(e.ratio, 3))
@@ -67,25 +69,29 @@
         ]
         if Feature.REMOTE_EVIDENCE in settings.disabled_features:
             evidence = []
-        limits = self._limit_rows(is_periodic=bool(used))
-        if evidence or used or runs or limits:
-            far = DataCentreUpdate(
-                settings.id, self._incarnation, settings.data_centre, evidence, used
+        limits = self._limit_rows(is_periodic=bool(used_tags))
+        if evidence or used_tags or run_records or limits:
+            update = DataCentreUpdate(
+                settings.id,
+                self._incarnation,
+                settings.data_centre,
+                evidence,
+                used_tags,
             )
-            far.runs = runs
-            far.limits = limits
-            self._send_to_data_centres(encode(far), at)
+            update.run_records = run_records
+            update.limits = limits
+            self._send_to_data_centres(encode(update), at)
 
     def _limit_rows(self, is_periodic):
-        """Return targets' rate limits to tell: what changed, and at times others."""
-        named = self._shared.limits.advertised
-        rows = named.remote_rows()
+        """Return the rate limits to send: changed ones, and periodically others."""
+        advertised = self._shared.limits.advertised
+        rows = advertised.remote_rows()
         if is_periodic:
-            rows += named.anti_entropy_rows(REMOTE_ANTI_ENTROPY_ROWS, self._rng)
+            rows += advertised.anti_entropy_rows(REMOTE_ANTI_ENTROPY_ROWS, self._rng)
         return [tuple(row) for row in rows]
 
     def send_load(self, at):
-        """Tell what the hosts of this data centre have in flight."""
+        """Send the data centre's requests in flight, host count and quotas."""
         settings = self._settings
         if Feature.REMOTE_LOAD in settings.disabled_features:
             return
@@ -96,15 +102,15 @@
             self._incarnation,
             self._load_number,
             self._shared.local_load(),
-            hosts=tuple(self._shared.quotas.local_hosts()),
+            host_count=tuple(self._shared.quotas.local_hosts()),
             quotas=[tuple(row) for row in self._shared.quotas.remote_rows(at)],
         )
         self._send_to_data_centres(encode(load), at)
 
     def _send_to_data_centres(self, data, at):
-        """Send to one host of each other data centre, its hub if that is known."""
-        for centre, strangers in self.remote_hosts.sample(at).items():
-            address, heard_at = self._remote_hubs.get(centre, (None, 0.0))
+        """Send to one host of each other data centre, its hub if known."""
+        for data_centre, addresses in self.remote_hosts.sample(at).items():
+            address, heard_at = self._remote_hubs.get(data_centre, (None, 0.0))
             if at - heard_at >= REMOTE_HUB_TTL:
-                address = self._rng.choice(strangers)
+                address = self._rng.choice(addresses)
             self._send(data, address)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -274,7 +274,9 @@
     def _sent_time(self, work):
         """Return when a message was sent if it is this host's own, else None."""
         return (
-            self._sent_at.get(work.number) if work.life == self._incarnation else None
+            self._sent_at.get(work.number)
+            if work.incarnation == self._incarnation
+            else None
         )
 
     def _send_pending(self):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -237,7 +237,7 @@
 def test_a_host_of_a_former_release_is_understood():
     """A rolling release of hosts: the former one tells nothing of requests."""
     old = ["w", "h", "10.0.0.1:7000", 1, 1, {}, [], {}, None]
-    assert decode(encode(old)).runs == []
+    assert decode(encode(old)).run_records == []
 
 
 def test_usual_outcomes_stay_in_their_data_centre(net):
@@ -564,8 +564,8 @@
     records = [message for message in told if isinstance(message, Records)]
     assert len(records) == 3
     for message in records:
-        assert (message.start, message.next) == (11, 13)
-        assert decode_records(message.packed) == page.records
+        assert (message.start_offset, message.next_offset) == (11, 13)
+        assert decode_records(message.compressed) == page.records
 
 
 def test_one_unreadable_message_does_not_silence_a_bundle(net):
@@ -576,7 +576,7 @@
     peers, shared, _ = net.add("x0", "x")
     work = HostUpdate("x1", "10.0.0.9:7000", 1, 1, {tag_of("t"): 1}, [], {})
     raws = [msgspec.Raw(encode(["w", "strange"])), msgspec.Raw(encode(work))]
-    peers.datagram_received(encode(Bundle(works=raws)), ("10.0.0.8", 7000))
+    peers.datagram_received(encode(Bundle(host_updates=raws)), ("10.0.0.8", 7000))
     assert shared.in_flight("t") == 1
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/strangers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/strangers.py
@@ -1,28 +1,26 @@
 """
-Hosts of other data centres that a host has heard of.
+Known hosts of other data centres.
 
-A few of each are enough, since any one of them passes on what it is told, and they are
-replaced as others are heard. Each host knows its own few, so that no host's loss cuts
-two data centres off from each other.
+A few per data centre are enough, since each forwards what it receives. Every host
+keeps its own selection, so the loss of one host doesn't disconnect two data centres.
 """
 
 from plumsaddle_core.ops.neighbours import PEER_TTL
 
 from ..utils.addresses import is_address
 
-# Hosts of each other data centre that a beat or an answer names.
+# Hosts of each other data centre that a heartbeat or an answer lists.
 HOSTS_PER_MESSAGE = 3
-# Hosts kept of each other data centre. Those heard last are kept, so a few that are up
-# are always among them.
+# Hosts kept per data centre: those that sent most recently.
 MAX_HOSTS_PER_DATA_CENTRE = 16
 
 
 class RemoteHosts:
     """
-    The hosts of other data centres, by data centre and address.
+    Addresses of hosts of other data centres, by data centre.
 
     Args:
-      settings: The `HostSettings`, which name the data centres.
+      settings: The `HostSettings`, which list the data centres.
       rng: A `random.Random`.
     """
 
@@ -32,43 +30,43 @@
         self._rng = rng
         self._heard_at = {}
 
-    def add(self, centre, address, at):
-        """Keep a host of another data centre as one that was up at a moment."""
-        heard_at = self._heard_at.setdefault(centre, {})
+    def add(self, data_centre, address, at):
+        """Add a host of another data centre that was live at a time, in seconds."""
+        heard_at = self._heard_at.setdefault(data_centre, {})
         heard_at[address] = max(at, heard_at.get(address, at))
         if len(heard_at) > MAX_HOSTS_PER_DATA_CENTRE:
             del heard_at[min(heard_at, key=heard_at.get)]
 
-    def add_candidates(self, named, now):
+    def add_candidates(self, addresses, now):
         """
-        Take hosts that another host named, as maybe up.
+        Add hosts that another host listed; they expire soon unless they send.
 
         Args:
-          named: A dictionary of data centre to addresses.
-          now: The present, in seconds.
+          addresses: Addresses by data centre.
+          now: The current time, in seconds.
         """
-        for centre in self._other_data_centres & set(named):
-            for address in filter(is_address, named[centre]):
-                self.add(centre, address, now - PEER_TTL / 2)
+        for data_centre in self._other_data_centres & set(addresses):
+            for address in filter(is_address, addresses[data_centre]):
+                self.add(data_centre, address, now - PEER_TTL / 2)
 
-    def live(self, centre, now):
-        """Return the hosts of a data centre that may be up."""
-        heard_at = self._heard_at.get(centre, {})
+    def live(self, data_centre, now):
+        """Return the addresses of a data centre's hosts that have not expired."""
+        heard_at = self._heard_at.get(data_centre, {})
         return [a for a, heard in heard_at.items() if now - heard < PEER_TTL]
 
     def sample(self, now):
-        """Return a few hosts of each other data centre, by data centre."""
-        some = {}
-        for centre in self._heard_at:
-            fresh = self.live(centre, now)
-            if fresh:
-                some[centre] = self._rng.sample(
-                    fresh, min(HOSTS_PER_MESSAGE, len(fresh))
+        """Return a few addresses per data centre, drawn at random."""
+        samples = {}
+        for data_centre in self._heard_at:
+            live = self.live(data_centre, now)
+            if live:
+                samples[data_centre] = self._rng.sample(
+                    live, min(HOSTS_PER_MESSAGE, len(live))
                 )
-        return some
+        return samples
 
     def needs_more(self, now):
-        """Return whether one or two lost hosts could cut this one off."""
+        """Return whether too few live hosts of some data centre are known."""
         return any(
             len(self.live(c, now)) < HOSTS_PER_MESSAGE for c in self._other_data_centres
         )
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -136,11 +136,11 @@
         if not self._shared.apply_update(to_peer_update(work), at):
             return False
         self._peer_table.note_heard(work.address, at)
-        self._add_run_records(work.runs, True, at)
+        self._add_run_records(work.run_records, True, at)
         self._merge_limits(work.limits, work.host, True, at)
-        self._shared.quotas.merge_local(work.host, work.life, work.quotas, at)
-        if work.beat is not None:
-            self._apply_heartbeat(work.beat, work.address, at)
+        self._shared.quotas.merge_local(work.host, work.incarnation, work.quotas, at)
+        if work.heartbeat is not None:
+            self._apply_heartbeat(work.heartbeat, work.address, at)
         return True
 
     def _note_echo(self, work, at):
@@ -151,7 +151,7 @@
             self._shared.limits.membership.note_delivered(sent_at)
 
     def _apply_heartbeat(self, beat, address, at):
-        self._peer_table.update(address, beat.link, beat.contact)
+        self._peer_table.update(address, beat.link_rate, beat.contact)
         self._add_candidates(beat.members, at)
         self._remote.remote_hosts.add_candidates(beat.remote_hosts, at)
         self._reader_role.apply_heartbeat(beat, at)
@@ -163,13 +163,15 @@
         self._shared.quotas.note_any_message(at)
         works = [
             raw
-            for raw, work in _decode_each(bundle.works, decode_host_update, address)
+            for raw, work in _decode_each(
+                bundle.host_updates, decode_host_update, address
+            )
             if self._apply_host_update(work, at)
         ]
         fars = [
             raw
             for raw, far in _decode_each(
-                bundle.fars, decode_data_centre_update, address
+                bundle.data_centre_updates, decode_data_centre_update, address
             )
             if self._apply_data_centre_update(far, at)
         ]
@@ -177,8 +179,8 @@
         if sums is not None and not self._is_hub():
             self._shared.apply_remote_load_total(sums, at)
         if not self._is_hub():
-            for asked in bundle.asked:
-                self._merge_quotas(asked.centre, asked.hosts, asked.rows, at)
+            for asked in bundle.quotas:
+                self._merge_quotas(asked.data_centre, asked.host_count, asked.rows, at)
         if (works or fars) and self._buffer.clients(at):
             self._buffer.add_from_hub(works, fars)
             self._callbacks.schedule_send(is_urgent=False)
@@ -190,7 +192,7 @@
 
     def _apply_data_centre_update(self, far, at):
         """Take news of another data centre, and return whether it was any."""
-        has_runs = self._add_run_records(far.runs, False, at)
+        has_runs = self._add_run_records(far.run_records, False, at)
         has_limits = self._merge_limits(far.limits, far.host, False, at)
         return (
             self._shared.apply_remote_update(to_remote_update(far), at)
@@ -224,10 +226,10 @@
 
     def _handle_data_centre_update(self, far, address, at):
         """Take news from elsewhere, and pass it on."""
-        if not far.is_passed_on:
-            self._remote.note_remote_hub(far.centre, address, at)
+        if not far.is_forwarded:
+            self._remote.note_remote_hub(far.data_centre, address, at)
         is_news = self._apply_data_centre_update(far, at)
-        is_for_hub, far.is_passed_on = not far.is_passed_on, True
+        is_for_hub, far.is_forwarded = not far.is_forwarded, True
         if self._callbacks.is_forwarding(at):
             if is_news:
                 self._buffer.add_data_centre_update(encode(far))
@@ -239,27 +241,27 @@
 
     def _handle_load(self, load, address, at):
         """Take the work in flight elsewhere as the hub, or pass it on to the hub."""
-        if not load.is_passed_on:
-            self._remote.note_remote_hub(load.centre, address, at)
+        if not load.is_forwarded:
+            self._remote.note_remote_hub(load.data_centre, address, at)
         if self._is_hub():
             self._shared.apply_remote_load(to_remote_load(load), at)
-            self._merge_quotas(load.centre, load.hosts, load.quotas, at)
-            self._buffer.add_quotas(load.centre, load.hosts, load.quotas)
+            self._merge_quotas(load.data_centre, load.host_count, load.quotas, at)
+            self._buffer.add_quotas(load.data_centre, load.host_count, load.quotas)
             if load.quotas and self._buffer.clients(at):
                 self._callbacks.schedule_send(is_urgent=False)
-        elif not load.is_passed_on:
-            load.is_passed_on = True
+        elif not load.is_forwarded:
+            load.is_forwarded = True
             self._callbacks.send(encode(load), self._peer_table.hub)
 
     def _handle_hello(self, hello, address, at):
         """Answer a host that looks for others of its data centre."""
         strangers = self._remote.remote_hosts.sample(at)
-        if hello.centre == self._settings.data_centre:
+        if hello.data_centre == self._settings.data_centre:
             known = self._peer_table.addresses()
             self._peer_table.add_candidate(address, at)
         else:
-            known = self._remote.remote_hosts.live(hello.centre, at)
-            self._remote.remote_hosts.add(hello.centre, address, at)
+            known = self._remote.remote_hosts.live(hello.data_centre, at)
+            self._remote.remote_hosts.add(hello.data_centre, address, at)
             own = [*self._peer_table.addresses(), self._settings.peer_address]
             strangers[self._settings.data_centre] = own[-HOSTS_PER_MESSAGE:]
         known = [a for a in known if a != address]
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
@@ -88,7 +88,7 @@
         await _settle(trial)
         lost = _readers(trial)
         for host in lost:
-            host.store.read_offsets = fault
+            host.store.read = fault
         well = [host for host in trial.hosts if host not in lost]
         await _drain_in_time(trial, well)
 
@@ -123,7 +123,7 @@
         await _settle(trial)
         told = [host for host in trial.hosts if not host.store_access.is_reader]
         for host in told:
-            host.store.read_offsets = _hang
+            host.store.read = _hang
         await _drain_in_time(trial, trial.hosts)
         await asyncio.sleep(READER_STATUS_TTL)
         assert all(feed._read_task is None for host in told for feed in host._feeds)
