--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
@@ -61,7 +61,7 @@
     """
 
     link_rate: BytesPerSecond
-    contact: StoreStatus
+    store_status: StoreStatus
     read_offsets: dict[str, tuple[Count, Seconds]]
     recovery_age: Seconds
     members: list[str] = []
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -198,7 +198,7 @@
             strangers = self._remote.remote_hosts.sample(at)
         return Heartbeat(
             self._settings.link_rate or 0.0,
-            self._reader_role.contact(at),
+            self._reader_role.store_status(at),
             self._reader_role.read_offsets(at),
             self._reader_role.recovery_age(at),
             members,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
@@ -27,14 +27,14 @@
     """
 
     def __init__(self, store_access, feeds, peer_table, send):
-        self._gate = store_access
+        self._store_access = store_access
         self._feeds = {feed.topic: feed for feed in feeds}
         self._peer_table = peer_table
         self._send = send
 
-    def contact(self, at):
+    def store_status(self, at):
         """Return the host's `StoreStatus`."""
-        return self._gate.status(at)
+        return self._store_access.status(at)
 
     def update(self, may_read, at):
         """
@@ -44,10 +44,10 @@
           may_read: Whether this host is allowed to be a reader yet.
           at: The current time, in seconds.
         """
-        contact = self._gate.status(at)
+        contact = self._store_access.status(at)
         is_reader = may_read and self._peer_table.is_reader(contact, at)
-        self._gate.is_store_prober = self._peer_table.is_store_prober(at)
-        if self._gate.set_reader(is_reader):
+        self._store_access.is_first_asker = self._peer_table.is_first_asker(at)
+        if self._store_access.set_reader(is_reader):
             log.info(
                 "reader role changed",
                 extra={"is_reader": is_reader, "contact": contact.name},
@@ -60,7 +60,7 @@
     @property
     def is_reader(self):
         """Whether this host follows the store on behalf of the other hosts."""
-        return self._gate.is_reader
+        return self._store_access.is_reader
 
     def read_offsets(self, at):
         """
@@ -70,7 +70,7 @@
           The next offset by topic, and the seconds since the store confirmed it. Empty
           unless this host is a reader with access to the store.
         """
-        if self._gate.status(at) is not StoreStatus.READING:
+        if self._store_access.status(at) is not StoreStatus.READING:
             return {}
         return {
             topic: (feed.next_offset, max(0.0, at - feed.confirmed_at))
@@ -80,7 +80,7 @@
 
     def recovery_age(self, at):
         """Return the seconds since this host regained access to the store."""
-        return min(MAX_RECOVERY_AGE, max(0.0, at - self._gate.recovered_at))
+        return min(MAX_RECOVERY_AGE, max(0.0, at - self._store_access.recovered_at))
 
     def send_records(self, topic, page):
         """
@@ -110,13 +110,13 @@
         if feed is None:
             return
         records = decode_records(message.compressed)
-        self._gate.note_recovery(at - message.recovery_age)
+        self._store_access.note_recovery(at - message.recovery_age)
         feed.apply_page(message.start_offset, records, message.next_offset, at)
 
     def apply_heartbeat(self, heartbeat, at):
         """Apply the store state in a host's heartbeat."""
-        if heartbeat.contact is StoreStatus.READING:
-            self._gate.note_recovery(at - heartbeat.recovery_age)
+        if heartbeat.store_status is StoreStatus.READING:
+            self._store_access.note_recovery(at - heartbeat.recovery_age)
         for topic, (offset, age) in heartbeat.read_offsets.items():
             if topic in self._feeds:
                 self._feeds[topic].note_reader_offset(offset, age, at)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -151,7 +151,7 @@
             self._shared.limits.membership.note_delivered(sent_at)
 
     def _apply_heartbeat(self, beat, address, at):
-        self._peer_table.update(address, beat.link_rate, beat.contact)
+        self._peer_table.update(address, beat.link_rate, beat.store_status)
         self._add_candidates(beat.members, at)
         self._remote.remote_hosts.add_candidates(beat.remote_hosts, at)
         self._reader_role.apply_heartbeat(beat, at)
