--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
@@ -21,8 +21,8 @@
 
 from ..platform.store import KeyedRecord
 
-# Numbers are validated as they are decoded, since an invalid one would corrupt totals and
-# failure estimates permanently.
+# Numbers are validated as they are decoded, since an invalid one would permanently
+# corrupt totals and failure estimates.
 Count = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 Seconds = Annotated[float, msgspec.Meta(ge=0.0, le=86400.0)]
 BytesPerSecond = Annotated[float, msgspec.Meta(ge=0.0, le=1e12)]
@@ -151,7 +151,7 @@
     """
     The total of a data centre's requests in flight, by tag of target.
 
-    `host_count` holds its live and missing hosts, and `quotas` the fields of `QuotaRow`.
+    `host_count` holds its live and missing hosts, `quotas` the fields of `QuotaRow`.
     """
 
     data_centre: str
@@ -257,8 +257,8 @@
         raise msgspec.DecodeError(str(exc)) from exc
 
 
-# Compressed bytes of records per datagram. Datagrams of many packets are lost more often,
-# so hosts read longer changes from the store themselves.
+# Compressed bytes of records per datagram. Datagrams of many packets are lost more
+# often, so hosts read longer changes from the store themselves.
 MAX_RECORDS_SIZE = 24_000
 _RecordRows = list[tuple[Count, str, bytes | None]]
 _decode_rows = msgspec.msgpack.Decoder(_RecordRows).decode
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
@@ -44,13 +44,13 @@
           may_read: Whether this host is allowed to be a reader yet.
           at: The current time, in seconds.
         """
-        contact = self._store_access.status(at)
-        is_reader = may_read and self._peer_table.is_reader(contact, at)
+        store_status = self._store_access.status(at)
+        is_reader = may_read and self._peer_table.is_reader(store_status, at)
         self._store_access.is_first_asker = self._peer_table.is_first_asker(at)
         if self._store_access.set_reader(is_reader):
             log.info(
                 "reader role changed",
-                extra={"is_reader": is_reader, "contact": contact.name},
+                extra={"is_reader": is_reader, "contact": store_status.name},
             )
             for feed in self._feeds.values():
                 feed.wake()
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -1,9 +1,8 @@
 """
-What a host makes of the datagrams that it takes.
+Handling of received messages.
 
-Work of hosts of its data centre, news of the others, changes of the store and members
-go to the parts that keep them. A hub keeps what is to be told on, and a host that took
-something for its hub passes it on.
+The content of messages is applied to the host's state. A hub also buffers updates to
+forward them, and other hosts forward messages that are meant for their hub.
 """
 
 import logging
@@ -39,18 +38,18 @@
 from .strangers import HOSTS_PER_MESSAGE
 
 log = logging.getLogger("peers")
-# Members that an answer to a newcomer names. One that knows the hub hears of all others
-# within a second.
+# Addresses in an answer to `Hello`. The receiver learns the others from the hub.
 MAX_NAMED_HOSTS = 64
 
 
 class Callbacks(NamedTuple):
     """
-    How a host tells others.
+    Functions for sending.
 
-    `send` is called with bytes and addresses, `send_soon` with whether what waits is
-    urgent. `is_hub` tells at a moment whether this host tells others what it is told,
-    and `echo_of` when a `Work` of its own was sent, or None.
+    `send` is called with bytes and addresses, and `schedule_send` with whether the
+    waiting updates are urgent. `is_forwarding` is called with the current time and
+    returns whether this host forwards updates. `sent_time` is called with a
+    `HostUpdate` and returns when this host sent it, or None.
     """
 
     send: Callable
@@ -61,53 +60,61 @@
 
 class MessageHandler:
     """
-    The taking part of a host's datagram socket.
+    Handles the messages that a host receives.
 
     Args:
       settings: The `HostSettings`.
-      shared: The `SharedState` that this host's knowledge is kept in.
+      shared: The host's `SharedState`.
       peer_table: The `PeerTable`.
-      readers: The `Readers`.
-      others: The `OtherCentres`.
-      collected: The `Collected`, which keeps what a hub tells on.
-      ways: The `Ways`.
+      reader_role: The `ReaderRole`.
+      remote: The `RemoteSender`.
+      buffer: The `BundleBuffer` of updates to forward.
+      callbacks: The `Callbacks`.
     """
 
-    def __init__(self, settings, shared, peer_table, readers, others, collected, ways):
+    def __init__(
+        self, settings, shared, peer_table, reader_role, remote, buffer, callbacks
+    ):
         self._settings = settings
         self._shared = shared
         self._peer_table = peer_table
-        self._reader_role = readers
-        self._remote = others
-        self._buffer = collected
-        self._callbacks = ways
+        self._reader_role = reader_role
+        self._remote = remote
+        self._buffer = buffer
+        self._callbacks = callbacks
 
     def _is_hub(self):
-        """Whether this host is the hub as far as it knows."""
+        """Whether this host considers itself the hub."""
         return self._peer_table.hub is None
 
     def handle(self, message, data, address, at):
         """
-        Take a message.
+        Handle a message.
 
         Args:
-          message: What `decode` returned.
-          data: Its bytes.
-          address: Who sent it.
-          at: The present, in seconds.
+          message: The decoded message.
+          data: The encoded message.
+          address: The sender's address.
+          at: The current time, in seconds.
         Raises:
-          msgspec.DecodeError: If a part of it cannot be read.
+          msgspec.DecodeError: If the compressed content is invalid.
         """
         if isinstance(message, HostUpdate):
             self._buffer.note_client(address, at)
-            runs_known = self._shared.suspects.local_record_count
-            limits_known = self._shared.limits.advertised.revision
+            known_run_records = self._shared.suspects.local_record_count
+            known_limits = self._shared.limits.advertised.revision
             if self._apply_host_update(message, at):
                 self._buffer.add_host_update(message.host, data)
-                is_calm = all(row[4] in DEFERRABLE_OUTCOMES for row in message.outcomes)
-                has_runs = self._shared.suspects.local_record_count > runs_known
-                has_limits = self._shared.limits.advertised.revision != limits_known
-                self._callbacks.schedule_send(has_runs or has_limits or not is_calm)
+                is_deferrable = all(
+                    row[4] in DEFERRABLE_OUTCOMES for row in message.outcomes
+                )
+                has_run_records = (
+                    self._shared.suspects.local_record_count > known_run_records
+                )
+                has_limits = self._shared.limits.advertised.revision != known_limits
+                self._callbacks.schedule_send(
+                    has_run_records or has_limits or not is_deferrable
+                )
         elif isinstance(message, Bundle):
             self._handle_bundle(message, address, at)
         elif isinstance(message, CompressedBundle):
@@ -124,123 +131,129 @@
         else:
             self._handle_hello(message, address, at)
 
-    def _apply_host_update(self, work, at):
-        """Take a host's work, and return whether it was news."""
-        if work.host == self._settings.id:
-            self._note_echo(work, at)
+    def _apply_host_update(self, update, at):
+        """Apply a host's update, and return whether it was new."""
+        if update.host == self._settings.id:
+            self._note_echo(update, at)
             return False
-        if not is_address(work.address):
+        if not is_address(update.address):
             return False
-        # Only news counts as a word of the host: a hub that wakes from a freeze passes
-        # on what its clients said seconds ago.
-        if not self._shared.apply_update(to_peer_update(work), at):
+        # Only new updates count as a sign of life: a hub that resumes after a freeze
+        # forwards updates that are seconds old.
+        if not self._shared.apply_update(to_peer_update(update), at):
             return False
-        self._peer_table.note_heard(work.address, at)
-        self._add_run_records(work.run_records, True, at)
-        self._merge_limits(work.limits, work.host, True, at)
-        self._shared.quotas.merge_local(work.host, work.incarnation, work.quotas, at)
-        if work.heartbeat is not None:
-            self._apply_heartbeat(work.heartbeat, work.address, at)
+        self._peer_table.note_heard(update.address, at)
+        self._add_run_records(update.run_records, True, at)
+        self._merge_limits(update.limits, update.host, True, at)
+        self._shared.quotas.merge_local(
+            update.host, update.incarnation, update.quotas, at
+        )
+        if update.heartbeat is not None:
+            self._apply_heartbeat(update.heartbeat, update.address, at)
         return True
 
-    def _note_echo(self, work, at):
-        """Take what a hub passes on of this host's own."""
-        sent_at = self._callbacks.sent_time(work)
+    def _note_echo(self, update, at):
+        """Record that a hub has sent back one of this host's own updates."""
+        sent_at = self._callbacks.sent_time(update)
         if sent_at is not None:
             self._peer_table.note_echo(sent_at, at)
             self._shared.limits.membership.note_delivered(sent_at)
 
-    def _apply_heartbeat(self, beat, address, at):
-        self._peer_table.update(address, beat.link_rate, beat.store_status)
-        self._add_candidates(beat.members, at)
-        self._remote.remote_hosts.add_candidates(beat.remote_hosts, at)
-        self._reader_role.apply_heartbeat(beat, at)
+    def _apply_heartbeat(self, heartbeat, address, at):
+        self._peer_table.update(address, heartbeat.link_rate, heartbeat.store_status)
+        self._add_candidates(heartbeat.members, at)
+        self._remote.remote_hosts.add_candidates(heartbeat.remote_hosts, at)
+        self._reader_role.apply_heartbeat(heartbeat, at)
 
     def _handle_bundle(self, bundle, address, at):
-        """Take what a hub tells, and pass it on to hosts that tell this one."""
-        self._peer_table.note_message(address, at)
-        self._peer_table.note_hub_message(address, at)
+        """Apply a hub's bundle, and forward it to this host's clients."""
+        self._peer_table.note_heard(address, at)
+        self._peer_table.note_hub_heard(address, at)
         self._shared.quotas.note_any_message(at)
-        works = [
+        host_updates = [
             raw
-            for raw, work in _decode_each(
+            for raw, host_update in _decode_each(
                 bundle.host_updates, decode_host_update, address
             )
-            if self._apply_host_update(work, at)
+            if self._apply_host_update(host_update, at)
         ]
-        fars = [
+        data_centre_updates = [
             raw
-            for raw, far in _decode_each(
+            for raw, data_centre_update in _decode_each(
                 bundle.data_centre_updates, decode_data_centre_update, address
             )
-            if self._apply_data_centre_update(far, at)
+            if self._apply_data_centre_update(data_centre_update, at)
         ]
-        sums = to_remote_load_total(bundle)
-        if sums is not None and not self._is_hub():
-            self._shared.apply_remote_load_total(sums, at)
+        load_total = to_remote_load_total(bundle)
+        if load_total is not None and not self._is_hub():
+            self._shared.apply_remote_load_total(load_total, at)
         if not self._is_hub():
-            for asked in bundle.quotas:
-                self._merge_quotas(asked.data_centre, asked.host_count, asked.rows, at)
-        if (works or fars) and self._buffer.clients(at):
-            self._buffer.add_from_hub(works, fars)
+            for quotas in bundle.quotas:
+                self._merge_quotas(
+                    quotas.data_centre, quotas.host_count, quotas.rows, at
+                )
+        if (host_updates or data_centre_updates) and self._buffer.clients(at):
+            self._buffer.add_from_hub(host_updates, data_centre_updates)
             self._callbacks.schedule_send(is_urgent=False)
 
-    def _merge_quotas(self, centre, hosts, rows, at):
-        """Take what workspaces asked of another data centre."""
-        if centre != self._settings.data_centre:
-            self._shared.quotas.merge_remote(centre, HostCount(*hosts), rows, at)
+    def _merge_quotas(self, data_centre, host_count, rows, at):
+        """Merge the quota rows of another data centre."""
+        if data_centre != self._settings.data_centre:
+            self._shared.quotas.merge_remote(
+                data_centre, HostCount(*host_count), rows, at
+            )
 
-    def _apply_data_centre_update(self, far, at):
-        """Take news of another data centre, and return whether it was any."""
-        has_runs = self._add_run_records(far.run_records, False, at)
-        has_limits = self._merge_limits(far.limits, far.host, False, at)
+    def _apply_data_centre_update(self, update, at):
+        """Apply an update of another data centre; return whether any of it was new."""
+        has_run_records = self._add_run_records(update.run_records, False, at)
+        has_limits = self._merge_limits(update.limits, update.host, False, at)
         return (
-            self._shared.apply_remote_update(to_remote_update(far), at)
-            or has_runs
+            self._shared.apply_remote_update(to_remote_update(update), at)
+            or has_run_records
             or has_limits
         )
 
-    def _add_run_records(self, rows, is_near, at):
-        """Take what became of targets under requests; return whether it was news."""
+    def _add_run_records(self, rows, is_local, at):
+        """Add run records, and return whether any was new."""
         suspects = self._shared.suspects
-        news = [suspects.add(RunRecord(*row), at, is_local=is_near) for row in rows]
-        return any(news)
+        are_new = [suspects.add(RunRecord(*row), at, is_local=is_local) for row in rows]
+        return any(are_new)
 
-    def _merge_limits(self, rows, host, is_near, at):
-        """Take rate limits that targets named to others; return whether any is new."""
+    def _merge_limits(self, rows, host, is_local, at):
+        """Merge advertised rate limits, and return whether any was new."""
         limits = self._shared.limits.advertised
-        has_news = False
+        has_new = False
         for row in map(LimitRow._make, rows):
-            former = limits.rate(row.incarnation)
-            if not limits.merge(row, is_near, at):
+            former_rate = limits.rate(row.incarnation)
+            if not limits.merge(row, is_local, at):
                 continue
-            has_news = True
+            has_new = True
             rate = limits.rate(row.incarnation)
             extra = {
                 "target": target_id_of(row.incarnation),
                 "rate": rate,
-                "former": former,
+                "former": former_rate,
             }
             log.info("rate limit", extra={**extra, "peer": host})
-        return has_news
-
-    def _handle_data_centre_update(self, far, address, at):
-        """Take news from elsewhere, and pass it on."""
-        if not far.is_forwarded:
-            self._remote.note_remote_hub(far.data_centre, address, at)
-        is_news = self._apply_data_centre_update(far, at)
-        is_for_hub, far.is_forwarded = not far.is_forwarded, True
+        return has_new
+
+    def _handle_data_centre_update(self, update, address, at):
+        """Apply an update of another data centre, and forward it."""
+        if not update.is_forwarded:
+            self._remote.note_remote_hub(update.data_centre, address, at)
+        is_new = self._apply_data_centre_update(update, at)
+        is_for_hub, update.is_forwarded = not update.is_forwarded, True
         if self._callbacks.is_forwarding(at):
-            if is_news:
-                self._buffer.add_data_centre_update(encode(far))
-                # What was seen elsewhere says less of a target than what is seen here,
-                # and four other data centres tell far more of it: it can wait.
+            if is_new:
+                self._buffer.add_data_centre_update(encode(update))
+                # Not urgent: remote evidence weighs less than local outcomes, and there
+                # is much of it.
                 self._callbacks.schedule_send(is_urgent=False)
         elif is_for_hub:
-            self._callbacks.send(encode(far), self._peer_table.hub)
+            self._callbacks.send(encode(update), self._peer_table.hub)
 
     def _handle_load(self, load, address, at):
-        """Take the work in flight elsewhere as the hub, or pass it on to the hub."""
+        """Apply the load of another data centre if this is the hub, else forward it."""
         if not load.is_forwarded:
             self._remote.note_remote_hub(load.data_centre, address, at)
         if self._is_hub():
@@ -254,8 +267,8 @@
             self._callbacks.send(encode(load), self._peer_table.hub)
 
     def _handle_hello(self, hello, address, at):
-        """Answer a host that looks for others of its data centre."""
-        strangers = self._remote.remote_hosts.sample(at)
+        """Answer a host that asks for addresses."""
+        remote_hosts = self._remote.remote_hosts.sample(at)
         if hello.data_centre == self._settings.data_centre:
             known = self._peer_table.addresses()
             self._peer_table.add_candidate(address, at)
@@ -263,27 +276,27 @@
             known = self._remote.remote_hosts.live(hello.data_centre, at)
             self._remote.remote_hosts.add(hello.data_centre, address, at)
             own = [*self._peer_table.addresses(), self._settings.peer_address]
-            strangers[self._settings.data_centre] = own[-HOSTS_PER_MESSAGE:]
+            remote_hosts[self._settings.data_centre] = own[-HOSTS_PER_MESSAGE:]
         known = [a for a in known if a != address]
         self._callbacks.send(
-            encode(Members(known[:MAX_NAMED_HOSTS], strangers)), address
+            encode(Members(known[:MAX_NAMED_HOSTS], remote_hosts)), address
         )
 
     def _add_candidates(self, addresses, at):
-        """Take hosts that were named; they stay only if they are heard."""
+        """Add listed hosts; they expire soon unless they send."""
         for address in addresses:
             if is_address(address):
                 self._peer_table.add_candidate(address, at)
 
 
-def _decode_each(raws, decode_one, address):
+def _decode_each(encoded_messages, decode_message, address):
     """
-    Yield encoded messages with what they say, but for those that cannot be read.
+    Yield each encoded message with the decoded one, skipping invalid messages.
 
-    One host of another release would else silence all that stand behind it.
+    Otherwise an incompatible message would invalidate the rest of its bundle.
     """
-    for raw in raws:
+    for encoded in encoded_messages:
         try:
-            yield raw, decode_one(raw)
+            yield encoded, decode_message(encoded)
         except msgspec.DecodeError as exc:
-            log.warning("unreadable", extra={"peer": address, "cause": str(exc)})
+            log.warning("invalid message", extra={"peer": address, "cause": str(exc)})
