--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -193,8 +193,8 @@
     def _make_heartbeat(self, at):
         members, remote_hosts = [], {}
         if self._is_hub():
-            # Only live hosts, else two hosts could list a dead one to each other forever.
-            live = self._peer_table.live(at)
+            # Only live hosts, so that hosts don't keep listing dead ones to each other.
+            live = self._peer_table.live_addresses(at)
             members = self._rng.sample(live, min(HOSTS_PER_HEARTBEAT, len(live)))
             remote_hosts = self._remote.remote_hosts.sample(at)
         return Heartbeat(
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -574,7 +574,7 @@
     messages stand first in each bundle.
     """
     peers, shared, _ = net.add("x0", "x")
-    work = HostUpdate("x1", "10.0.0.9:7000", 1, 1, {tag_of("t"): 1}, [], {})
+    work = HostUpdate("x1", "10.0.0.9:7000", 1, 1, {target_tag("t"): 1}, [], {})
     raws = [msgspec.Raw(encode(["w", "strange"])), msgspec.Raw(encode(work))]
     peers.datagram_received(encode(Bundle(host_updates=raws)), ("10.0.0.8", 7000))
     assert shared.in_flight("t") == 1
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
@@ -46,7 +46,7 @@
         """
         store_status = self._store_access.status(at)
         is_reader = may_read and self._peer_table.is_reader(store_status, at)
-        self._store_access.is_first_asker = self._peer_table.is_first_asker(at)
+        self._store_access.is_store_prober = self._peer_table.is_store_prober(at)
         if self._store_access.set_reader(is_reader):
             log.info(
                 "reader role changed",
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -142,7 +142,7 @@
         # forwards updates that are seconds old.
         if not self._shared.apply_update(to_peer_update(update), at):
             return False
-        self._peer_table.note_heard(update.address, at)
+        self._peer_table.note_message(update.address, at)
         self._add_run_records(update.run_records, True, at)
         self._merge_limits(update.limits, update.host, True, at)
         self._shared.quotas.merge_local(
@@ -167,8 +167,8 @@
 
     def _handle_bundle(self, bundle, address, at):
         """Apply a hub's bundle, and forward it to this host's clients."""
-        self._peer_table.note_heard(address, at)
-        self._peer_table.note_hub_heard(address, at)
+        self._peer_table.note_message(address, at)
+        self._peer_table.note_hub_message(address, at)
         self._shared.quotas.note_any_message(at)
         host_updates = [
             raw
--- a/packages/plumsaddle-standins/plumsaddle_standins/crashes.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/crashes.py
@@ -285,7 +285,7 @@
             number
             for number in self._live
             if self._trial.hosts[number].settings.data_centre == centre
-            and self._trial.hosts[number].peers._picked_itself()
+            and self._trial.hosts[number].peers._is_hub()
         ]
         if hubs:
             await self._end_host(hubs[0])
