--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/front.py
@@ -1,5 +1,5 @@
 """
-The HTTP handler for callers: validates requests, and returns answers and refusals.
+The HTTP handler for callers: validates requests, and returns responses or refusals.
 
 Short bodies are read completely before a target is chosen, so that a slow caller does
 not occupy a slot and a failed request can be retried. Longer bodies are streamed.
@@ -91,25 +91,25 @@
         self._metrics.refusals.inc({"cause": RefusalCause.HEAD_TOO_SLOW.value})
 
     async def handle(self, request):
-        """Answer one request."""
-        started = now()
+        """Return the response to a request."""
+        started_at = now()
         transport = request.transport
         if transport is None or transport.is_closing():
-            # The caller disconnected while the request was read and cannot receive an
-            # answer, so the request is not forwarded.
+            # The caller disconnected while the request was read and cannot receive a
+            # response, so the request is not forwarded.
             return web.Response(status=503)
         self._busy_transports.add(transport)
         try:
-            answer = await self._answer(request, started)
-            return await self._respond(request, answer)
+            result = await self._process(request, started_at)
+            return await self._respond(request, result)
         finally:
             self._busy_transports.discard(transport)
-            self._metrics.seconds.observe({}, now() - started)
+            self._metrics.seconds.observe({}, now() - started_at)
 
-    async def _answer(self, request, started):
+    async def _process(self, request, started_at):
         """Validate and run a request; return a `Reply` or a `Refusal`."""
         cfg = self._knowledge.cfg
-        if self.is_draining and started - self._draining_since > DRAIN_ACCEPT_TIME:
+        if self.is_draining and started_at - self._draining_since > DRAIN_ACCEPT_TIME:
             return self._refuse(request, RefusalCause.DRAINING, 0.0)
         if not self._knowledge.is_complete:
             return self._refuse(request, RefusalCause.NO_CONFIGURATION, 0.5)
@@ -123,7 +123,7 @@
         )
         if route is None:
             return self._refuse(request, RefusalCause.NO_ROUTE)
-        workspace, refusal = self._identify(request, route, started)
+        workspace, refusal = self._identify(request, route, started_at)
         if refusal is not None:
             return refusal
         # Taken before the body is read, since the configuration may change meanwhile.
@@ -140,15 +140,15 @@
         if length is not None and length > cfg.limits.body_bytes:
             return self._refuse(request, RefusalCause.BODY_TOO_LARGE)
         self._metrics.requests.inc({"kind": route.kind.value})
-        decision = self._knowledge.admit(workspace, started)
+        decision = self._knowledge.admit(workspace, started_at)
         if not decision.is_admitted:
             return self._refuse_over_limit(request, workspace, decision)
-        answer = await self._read_and_run(
-            request, route, owner, request_id, started, time_limit
+        result = await self._read_and_run(
+            request, route, owner, request_id, started_at, time_limit
         )
-        if isinstance(answer, Refusal) and not answer.may_have_run:
+        if isinstance(result, Refusal) and not result.may_have_run:
             self._knowledge.shared.quotas.release(workspace, now())
-        return answer
+        return result
 
     def _refuse_over_limit(self, request, workspace, decision):
         return self._refuse(
@@ -188,11 +188,11 @@
         )
 
     async def _read_and_run(
-        self, request, route, owner, request_id, started, time_limit
+        self, request, route, owner, request_id, started_at, time_limit
     ):
         """Read the body or its first part within the limits, and run the request."""
         reserved = 0
-        deadline = started + time_limit
+        deadline = started_at + time_limit
         try:
             room = MAX_BUFFERED_BYTES - self._buffered_bytes
             expected = min(MAX_WHOLE_BODY, request.content_length or 0)
@@ -209,7 +209,7 @@
             if len(body) > self._knowledge.cfg.limits.body_bytes:
                 return self._refuse(request, RefusalCause.BODY_TOO_LARGE)
             proxy_request = self._make_proxy_request(
-                request, route, owner, request_id, started, deadline, body, is_whole
+                request, route, owner, request_id, started_at, deadline, body, is_whole
             )
             return await self._run(proxy_request)
         except TimeoutError:
@@ -220,7 +220,7 @@
             self._buffered_bytes -= reserved
 
     def _make_proxy_request(
-        self, request, route, owner, request_id, started, deadline, body, is_whole
+        self, request, route, owner, request_id, started_at, deadline, body, is_whole
     ):
         max_rest = self._knowledge.cfg.limits.body_bytes - len(body)
         service = choose_service(route, self._knowledge.rng)
@@ -234,7 +234,7 @@
             len(body) if is_whole else request.content_length,
             route,
             service,
-            started,
+            started_at,
             deadline,
             Caller(request),
             owner,
@@ -270,58 +270,60 @@
         self._metrics.refusals.inc({"cause": cause.value})
         return Refusal(cause, False, retry_delay)
 
-    async def _respond(self, request, answer):
-        """Turn an answer into the caller's response."""
-        if isinstance(answer, Reply):
-            if answer.rest is not None:
-                return await self._stream(request, answer)
-            headers = _forwarded_headers(answer.headers)
-            resp = web.Response(status=answer.status, body=answer.body, headers=headers)
+    async def _respond(self, request, result):
+        """Return the HTTP response for a `Reply` or a `Refusal`."""
+        if isinstance(result, Reply):
+            if result.rest is not None:
+                return await self._stream(request, result)
+            headers = _forwarded_headers(result.headers)
+            response = web.Response(
+                status=result.status, body=result.body, headers=headers
+            )
         else:
-            resp = _refusal_response(request, answer)
+            response = _refusal_response(request, result)
         if not request.content.is_eof():
             # Otherwise the rest of the body would be parsed as the next request.
-            resp.force_close()
+            response.force_close()
         if self.is_draining:
-            resp.force_close()
-        return resp
+            response.force_close()
+        return response
 
-    async def _stream(self, request, answer):
-        """Stream a long answer; if it is incomplete, abort the caller's connection."""
-        resp = web.StreamResponse(
-            status=answer.status, headers=_forwarded_headers(answer.headers)
+    async def _stream(self, request, reply):
+        """Stream a long reply; if it is incomplete, abort the caller's connection."""
+        response = web.StreamResponse(
+            status=reply.status, headers=_forwarded_headers(reply.headers)
         )
-        length = dict((k.lower(), v) for k, v in answer.headers).get(b"content-length")
+        length = dict((k.lower(), v) for k, v in reply.headers).get(b"content-length")
         if length is not None:
-            resp.content_length = int(length)
+            response.content_length = int(length)
         else:
-            resp.enable_chunked_encoding()
+            response.enable_chunked_encoding()
         if self.is_draining:
-            resp.force_close()
+            response.force_close()
         is_whole = False
         try:
-            await resp.prepare(request)
-            await resp.write(answer.body)
+            await response.prepare(request)
+            await response.write(reply.body)
             while True:
-                part = await answer.rest.read()
+                part = await reply.rest.read()
                 if part is None:
                     break
                 if not part:
                     is_whole = True
                     break
-                await resp.write(part)
+                await response.write(part)
         finally:
-            answer.rest.close()
+            reply.rest.close()
         if is_whole:
-            await resp.write_eof()
+            await response.write_eof()
         else:
             log.warning(
-                "answer incomplete",
+                "response incomplete",
                 extra={"request": request.headers.get(wire.REQUEST_ID)},
             )
             if request.transport is not None:
                 request.transport.abort()
-        return resp
+        return response
 
 
 def _parse_time_limit(text, maximum):
@@ -359,7 +361,7 @@
 
 
 def _forwarded_headers(pairs):
-    """Return the headers of an answer that are forwarded to the caller."""
+    """Return the headers of a response that are forwarded to the caller."""
     connection_names = connection_header_names(pairs)
     headers = CIMultiDict()
     for name, value in pairs:
@@ -374,12 +376,12 @@
 def _refusal_response(request, refusal):
     """Return the response for a refusal."""
     status = http_status(refusal)
-    resp = web.json_response({"error": refusal.cause.value}, status=status)
+    response = web.json_response({"error": refusal.cause.value}, status=status)
     if status in (429, 503):
         retry_after = max(MIN_RETRY_AFTER, refusal.retry_after or 0.0)
-        resp.headers[wire.RETRY_AFTER] = f"{retry_after:.2f}"
+        response.headers[wire.RETRY_AFTER] = f"{retry_after:.2f}"
     if status == 401:
-        resp.headers["WWW-Authenticate"] = "Bearer"
+        response.headers["WWW-Authenticate"] = "Bearer"
     if request.headers.get(wire.REQUEST_ID):
-        resp.headers[wire.REQUEST_ID] = request.headers[wire.REQUEST_ID]
-    return resp
+        response.headers[wire.REQUEST_ID] = request.headers[wire.REQUEST_ID]
+    return response
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/limits.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/limits.py
@@ -1,7 +1,7 @@
 """
 The rate limits of targets on a host of the platform.
 
-Reads the limits from the answers of targets, logs changes, and applies the limits of
+Reads the limits from the responses of targets, logs changes, and applies the limits of
 the core to the listed targets.
 """
 
@@ -55,7 +55,7 @@
         Args:
           service: The service's name.
           max_wait: The maximum seconds that the request may wait for a token.
-          at: The present, in seconds.
+          at: The current time, in seconds.
         """
         usable = self._registry.usable(service)
         data_centre, revision = self._settings.data_centre, self._registry.revision
@@ -90,13 +90,13 @@
         """Undo `acquire` for a request that did not reach its target."""
         self._limits.release(target, now())
 
-    def note_answer(self, target, headers, outcome, sent_at, request_id):
+    def note_response(self, target, headers, outcome, sent_at, request_id):
         """
-        Record the limit that an answer advertises, or the absence of one.
+        Record the limit that a response advertises, or the absence of one.
 
         Args:
           target: The `Target` that the request was sent to.
-          headers: The answer's headers.
+          headers: The headers of the response.
           outcome: The `SendOutcome` of the send, or None if it was abandoned.
           sent_at: When the request was sent, in seconds.
           request_id: The request's id, as bytes.
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/outgoing.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/outgoing.py
@@ -62,7 +62,7 @@
     length: int | None
     route: Route
     service: str
-    started: float
+    started_at: float
     deadline: float
     caller: Any
     owner: Owner = Owner()
@@ -73,7 +73,7 @@
     """
     Return the request key, which stays the same if the caller retries the request.
 
-    Hashing a long body is expensive, so callers compute it only on demand.
+    Hashing a long body is expensive, so it is computed only on demand.
     """
     headers = _forwarded_headers(request) if request.owner.has_keys else request.headers
     workspace = (request.owner.name or "").encode()
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -1,5 +1,5 @@
 """
-Forwards a request to targets until one of them answers it.
+Forwards a request to targets until one of them responds.
 
 The relay chooses a target, sends the request and evaluates the outcome. A failed send
 of an idempotent request is retried at another target, and a slow one is hedged: the
@@ -59,14 +59,14 @@
       knowledge: The `HostState`.
       sender: The `Sender`.
       metrics: The `EdgeMetrics`.
-      endings: The `CrashDetector`.
+      crash_detector: The `CrashDetector`.
     """
 
-    def __init__(self, knowledge, sender, metrics, endings):
+    def __init__(self, knowledge, sender, metrics, crash_detector):
         self._knowledge = knowledge
         self._sender = sender
         self._metrics = metrics
-        self._endings = endings
+        self._crash_detector = crash_detector
         self._active = set()
 
     def refuse_in_flight(self):
@@ -81,7 +81,7 @@
 
     async def run(self, request):
         """
-        Forward a request and wait for its answer.
+        Forward a request and wait for its result.
 
         Args:
           request: The `ProxyRequest`.
@@ -89,7 +89,7 @@
           The `Reply` of a target, or a `Refusal`.
         """
         active = _ActiveRequest(
-            request, self._knowledge, self._sender, self._metrics, self._endings
+            request, self._knowledge, self._sender, self._metrics, self._crash_detector
         )
         refusal = active.check_hold()
         if refusal is not None:
@@ -98,10 +98,10 @@
         self._knowledge.shared.note_request(request.service, now())
         self._active.add(active)
         try:
-            answer = await active.serve()
-            is_served = isinstance(answer, Reply) and answer.status < 500
+            result = await active.serve()
+            is_served = isinstance(result, Reply) and result.status < 500
             self._knowledge.shared.note_request_end(request.service, is_served, now())
-            return answer
+            return result
         finally:
             self._active.discard(active)
             active.cancel_sends()
@@ -110,15 +110,17 @@
 class _ActiveRequest:
     """A request in flight."""
 
-    def __init__(self, request, knowledge, sender, metrics, endings):
+    def __init__(self, request, knowledge, sender, metrics, crash_detector):
         self._request = request
         self._knowledge = knowledge
         self._sender = sender
         self._metrics = metrics
         self._attempt = Attempt(request.route.kind, request.route.max_attempts)
-        self._suspect_check = SuspectCheck(request, self._attempt, knowledge, endings)
+        self._suspect_check = SuspectCheck(
+            request, self._attempt, knowledge, crash_detector
+        )
         self._excluded = set()
-        self._sends = set()
+        self._send_tasks = set()
         self._unreachable_count = 0
         self._is_hedged = False
         self._hedge_at = 0.0
@@ -144,13 +146,13 @@
 
     def cancel_sends(self):
         """Cancel all outstanding sends and close their connections."""
-        for task in self._sends:
+        for task in self._send_tasks:
             if task.done() and not task.cancelled():
                 _close_reply(task.result().reply)
             task.cancel()
 
     async def serve(self):
-        """Send until there is an answer or no further send is allowed."""
+        """Send until there is a response or no further send is allowed."""
         refusal = await self._send_next(None)
         if refusal is not None:
             return refusal
@@ -163,18 +165,18 @@
                     return self._give_up(RefusalCause.DEADLINE_EXCEEDED)
                 await self._hedge()
                 continue
-            # Answers that have arrived are delivered even if the request is aborted.
+            # Responses that have arrived are returned even if the request is aborted.
             for task in done - {self._aborted}:
-                self._sends.discard(task)
-                result = task.result()
-                if result.outcome is SendOutcome.SUCCEEDED:
+                self._send_tasks.discard(task)
+                completed = task.result()
+                if completed.outcome is SendOutcome.SUCCEEDED:
                     self._knowledge.note_response_size(
-                        self._request.route, len(result.reply.body)
+                        self._request.route, len(completed.reply.body)
                     )
-                    return self._log_answer(result)
-                answer = await self._handle_failure(result)
-                if answer is not None:
-                    return answer
+                    return self._log_response(completed)
+                result = await self._handle_failure(completed)
+                if result is not None:
+                    return result
 
     def _time_left(self):
         return self._request.deadline - now()
@@ -191,7 +193,7 @@
         if self._may_hedge():
             timeout = min(timeout, max(0.0, self._hedge_at - now()))
         done, _ = await asyncio.wait(
-            {*self._sends, self._aborted},
+            {*self._send_tasks, self._aborted},
             timeout=timeout,
             return_when=asyncio.FIRST_COMPLETED,
         )
@@ -219,54 +221,54 @@
         if not self._is_hedged:
             self._hedge_at = now() + HEDGE_RETRY_INTERVAL
 
-    async def _handle_failure(self, result):
+    async def _handle_failure(self, completed):
         """
         Retry after a failed send, if that is allowed.
 
         Returns:
-          The final answer, or None if another send is outstanding.
+          The final `Reply` or `Refusal`, or None if a send is outstanding.
         """
-        self._last_send = result
-        self._excluded.add(result.target.id)
-        if result.outcome in NOT_SENT:
+        self._last_send = completed
+        self._excluded.add(completed.target.id)
+        if completed.outcome in NOT_SENT:
             self._unreachable_count += 1
-        if self._sends:
+        if self._send_tasks:
             return None
         if self._unreachable_count >= MAX_UNREACHABLE:
             return self._give_up(RefusalCause.UNREACHABLE)
         if self._request.caller.is_gone():
             return self._give_up(RefusalCause.CALLER_GONE)
         if not self._suspect_check.may_retry():
-            return self._final_answer(result)
+            return self._final_result(completed)
         if not self._attempt.may_send() or self._is_body_consumed:
             # The part of a streamed body that was read is not kept.
-            return self._final_answer(result)
+            return self._final_result(completed)
         is_retry = self._attempt.sends > 0
         request = self._request
         if is_retry and not self._knowledge.may_retry(request.service, request.urgency):
             self._metrics.retries_denied.inc({"service": request.service})
-            return self._final_answer(result)
-        refusal = await self._send_next(result.outcome.value)
-        return None if refusal is None else self._final_answer(result)
-
-    def _final_answer(self, result):
-        """Return the answer when no further send is allowed."""
-        if result.reply is not None and self._may_forward(result):
-            return self._log_answer(result)
+            return self._final_result(completed)
+        refusal = await self._send_next(completed.outcome.value)
+        return None if refusal is None else self._final_result(completed)
+
+    def _final_result(self, completed):
+        """Return the `Reply` or `Refusal` when no further send is allowed."""
+        if completed.reply is not None and self._may_forward(completed):
+            return self._log_response(completed)
         if self._attempt.is_known_not_run():
             return self._refuse(RefusalCause.NOT_RUN)
         return self._refuse(RefusalCause.TARGET_FAILED)
 
-    def _may_forward(self, result):
+    def _may_forward(self, completed):
         """
         Return whether the error response of a target may be forwarded to the caller.
 
         Statuses that promise that the request has not run are not forwarded, since it
         may have run at another target.
         """
-        if result.outcome not in (SendOutcome.FAILED, SendOutcome.TIMED_OUT):
+        if completed.outcome not in (SendOutcome.FAILED, SendOutcome.TIMED_OUT):
             return False
-        return result.reply.status not in (408, 421, 429, 503)
+        return completed.reply.status not in (408, 421, 429, 503)
 
     def _give_up(self, cause):
         if cause is RefusalCause.DEADLINE_EXCEEDED and self._attempt.is_known_not_run():
@@ -284,7 +286,7 @@
                 "service": request.service,
                 "targets": self._attempt.targets,
                 "last": self._last_send.outcome.value if self._last_send else None,
-                "seconds": round(now() - request.started, 4),
+                "seconds": round(now() - request.started_at, 4),
                 "version": self._knowledge.cfg.version,
                 **fields,
             },
@@ -298,21 +300,21 @@
         typical = self._typical_duration()
         return typical * self._knowledge.rng.uniform(0.5, 1.5)
 
-    def _log_answer(self, result):
+    def _log_response(self, completed):
         request = self._request
         log.info(
             "answered",
             extra={
                 "request": request.id.decode("latin-1"),
-                "status": result.reply.status,
+                "status": completed.reply.status,
                 "route": request.route.name,
                 "targets": self._attempt.targets,
-                "seconds": round(now() - request.started, 4),
+                "seconds": round(now() - request.started_at, 4),
                 "workspace": request.owner.name,
             },
         )
-        self._metrics.answers.inc({"status": str(result.reply.status)})
-        return result.reply
+        self._metrics.answers.inc({"status": str(completed.reply.status)})
+        return completed.reply
 
     # A single send.
 
@@ -328,12 +330,12 @@
         """
         request = self._request
         at = now()
-        answer_bytes = self._knowledge.typical_response_bytes(request.route)
-        kilobytes = ((request.length or 0) + answer_bytes) / 1024
+        response_bytes = self._knowledge.typical_response_bytes(request.route)
+        kilobytes = ((request.length or 0) + response_bytes) / 1024
         profile = self._knowledge.request_profile(
             request.route,
             request.service,
-            request.started,
+            request.started_at,
             request.deadline,
             kilobytes,
             at,
@@ -385,7 +387,7 @@
         else:
             self._attempt.note_send(target.id)
             sending = self._send(choice)
-        self._sends.add(asyncio.get_running_loop().create_task(sending))
+        self._send_tasks.add(asyncio.get_running_loop().create_task(sending))
         return None
 
     async def _send_after_wait(self, choice):
@@ -424,18 +426,18 @@
     async def _send(self, choice):
         """Send to the target of a `Choice` and return the `CompletedSend`."""
         target = choice.candidate.target
-        started = now()
+        started_at = now()
         sent = SendResult(SendOutcome.ABANDONED)
-        stuck = asyncio.get_running_loop().call_later(
+        stuck_timer = asyncio.get_running_loop().call_later(
             _slow_threshold(STUCK_FACTOR, choice), self._note_stuck, choice
         )
         try:
             sent = await self._sender.send(self._request, target, self._suspect_check)
         finally:
-            fate, seconds = sent.outcome, now() - started
+            fate, seconds = sent.outcome, now() - started_at
             self._is_body_consumed = self._is_body_consumed or sent.is_body_consumed
-            is_stuck = stuck.when() <= asyncio.get_running_loop().time()
-            stuck.cancel()
+            is_stuck = stuck_timer.when() <= asyncio.get_running_loop().time()
+            stuck_timer.cancel()
             self._knowledge.note_send_end(target)
             if fate in NOT_SENT:
                 self._attempt.undo_send(target.id)
@@ -512,7 +514,7 @@
 
 def _would_miss_deadline(choice, profile, urgency):
     """
-    Return whether the best target has no free slot and would answer too late.
+    Return whether the best target has no free slot and would respond too late.
 
     Less urgent requests may use up only a part of their remaining time.
     """
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
@@ -16,8 +16,8 @@
 from .verdict import ReplyRest, classify, classify_head
 
 log = logging.getLogger("relay")
-# Answers up to this many bytes are buffered, so that the request can be retried if the
-# answer is incomplete. Longer answers are streamed.
+# Responses up to this many bytes are buffered, so that the request can be retried if
+# the response is incomplete. Longer responses are streamed.
 MAX_BUFFERED_BODY = 65536
 # Maximum idle seconds of a pooled connection, for orders and uploads and for idempotent
 # requests. The target may close an idle connection while a request is being sent, and
@@ -58,24 +58,24 @@
 
     Args:
       knowledge: The `HostState`.
-      links: The `ConnectionPool`.
+      pool: The `ConnectionPool`.
       metrics: The `EdgeMetrics`.
-      endings: The `CrashDetector`.
+      crash_detector: The `CrashDetector`.
     """
 
-    def __init__(self, knowledge, links, metrics, endings):
+    def __init__(self, knowledge, pool, metrics, crash_detector):
         self._knowledge = knowledge
-        self._links = links
+        self._pool = pool
         self._metrics = metrics
-        self._endings = endings
+        self._crash_detector = crash_detector
 
     def has_connection(self, request, incarnation):
         """Return whether there is a pooled connection that a request may use."""
-        return self._links.has_idle(incarnation, _max_idle(request))
+        return self._pool.has_idle(incarnation, _max_idle(request))
 
     async def send(self, request, target, suspect_check):
         """
-        Get a connection, send a request, and wait for the answer or its first part.
+        Get a connection, send a request, and wait for the response or its first part.
 
         Args:
           request: The `ProxyRequest`.
@@ -84,56 +84,62 @@
         Returns:
           A `SendResult`.
         """
-        link = self._links.acquire(target.incarnation, _max_idle(request))
-        is_new = link is None
-        if link is None:
-            link = await self._links.open(target)
+        connection = self._pool.acquire(target.incarnation, _max_idle(request))
+        is_new = connection is None
+        if connection is None:
+            connection = await self._pool.open(target)
             self._metrics.connections.inc({"service": target.service})
-        if isinstance(link, ConnectFailure):
-            if link is ConnectFailure.REFUSED:
-                self._endings.note_refused(target)
-            return SendResult(SendOutcome.UNREACHABLE, None, ConnectionInfo(link.value))
+        if isinstance(connection, ConnectFailure):
+            if connection is ConnectFailure.REFUSED:
+                self._crash_detector.note_refused(target)
+            return SendResult(
+                SendOutcome.UNREACHABLE, None, ConnectionInfo(connection.value)
+            )
         at = now()
-        age = round(at - link.opened_at, 3)
-        idle = 0.0 if is_new else round(at - link.last_used_at, 3)
-        connection = ConnectionInfo("new" if is_new else "kept", age, idle)
+        age = round(at - connection.opened_at, 3)
+        idle = 0.0 if is_new else round(at - connection.last_used_at, 3)
+        info = ConnectionInfo("new" if is_new else "kept", age, idle)
         is_too_late = request.deadline <= at or request.caller.is_gone()
         if is_too_late or not self._knowledge.is_usable(target):
-            self._links.release_unused(target.incarnation, link)
-            return SendResult(SendOutcome.UNSENT, None, connection)
-        outcome, reply = await self._exchange(request, target, link, suspect_check)
-        return SendResult(outcome, reply, connection, request.rest is not None)
+            self._pool.release_unused(target.incarnation, connection)
+            return SendResult(SendOutcome.UNSENT, None, info)
+        outcome, reply = await self._exchange(
+            request, target, connection, suspect_check
+        )
+        return SendResult(outcome, reply, info, request.rest is not None)
 
-    async def _exchange(self, request, target, link, suspect_check):
+    async def _exchange(self, request, target, connection, suspect_check):
         """Send on a connection and return the outcome and the `Reply` or None."""
         sent_at = now()
-        exchange = link.start_exchange(
+        exchange = connection.start_exchange(
             make_head(request, target, request.deadline - sent_at), request.id
         )
         outcome = None
         is_streaming = False
         try:
             if request.rest is not None:
-                sending = asyncio.ensure_future(_send_body(link, request))
+                sending = asyncio.ensure_future(_send_body(connection, request))
                 await exchange.wait_for_body(MAX_BUFFERED_BODY)
                 sending.cancel()
             else:
                 await exchange.wait_for_body(MAX_BUFFERED_BODY)
             if exchange.outcome is None and exchange.has_head:
-                outcome, reply = classify_head(exchange, ReplyRest(exchange, link))
+                outcome, reply = classify_head(
+                    exchange, ReplyRest(exchange, connection)
+                )
                 is_streaming = outcome is SendOutcome.SUCCEEDED
                 # The rest of a long error response is not read.
                 return outcome, reply if is_streaming else None
             outcome, reply = classify(exchange)
             return outcome, reply
         finally:
-            suspect_check.note_send(target, exchange, outcome)
+            suspect_check.note_outcome(target, exchange, outcome)
             if exchange.has_head:
-                self._knowledge.limits.note_answer(
+                self._knowledge.limits.note_response(
                     target, exchange.headers, outcome, sent_at, request.id
                 )
             if not is_streaming:
-                self._links.release(target.incarnation, link)
+                self._pool.release(target.incarnation, connection)
 
 
 def _max_idle(request):
@@ -141,7 +147,7 @@
     return MAX_IDLE if request.route.kind.is_idempotent else MAX_ORDER_IDLE
 
 
-async def _send_body(link, request):
+async def _send_body(connection, request):
     """
     Stream a body to a target.
 
@@ -149,7 +155,7 @@
     not wait for the rest.
     """
     try:
-        await link.send_body(frame_body(request))
+        await connection.send_body(frame_body(request))
     except (web.RequestPayloadError, OSError) as exc:
         log.info(
             "upload aborted",
@@ -158,4 +164,4 @@
                 "cause": type(exc).__name__,
             },
         )
-        link.close()
+        connection.close()
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
@@ -29,15 +29,15 @@
       request: The `ProxyRequest`.
       attempt: Its `Attempt`.
       knowledge: The `HostState`.
-      endings: The `CrashDetector`.
+      crash_detector: The `CrashDetector`.
     """
 
-    def __init__(self, request, attempt, knowledge, endings):
+    def __init__(self, request, attempt, knowledge, crash_detector):
         self._request = request
         self._attempt = attempt
         self._suspects = knowledge.shared.suspects
         self._knowledge = knowledge
-        self._endings = endings
+        self._crash_detector = crash_detector
         self._is_disabled = (
             Feature.SUSPECT_HOLDS in knowledge.settings.disabled_features
         )
@@ -73,12 +73,12 @@
 
     def _possible_crash_count(self):
         """Return how many targets have crashed, or may have, under the request."""
-        has_any = len(self._suspects) or self._endings.has_unresolved
+        has_any = len(self._suspects) or self._crash_detector.has_unresolved
         if self._is_disabled or not has_any:
             return 0
-        return self.crash_count + self._endings.unresolved_count(self.key)
+        return self.crash_count + self._crash_detector.unresolved_count(self.key)
 
-    def note_send(self, target, exchange, outcome):
+    def note_outcome(self, target, exchange, outcome):
         """
         Record what the outcome of a send says about a crash of its target.
 
@@ -88,9 +88,9 @@
           outcome: The `SendOutcome`, or None if the send was cancelled.
         """
         if outcome is SendOutcome.BROKEN and not exchange.has_head:
-            self._endings.note_broken(target, self.key)
+            self._crash_detector.note_broken(target, self.key)
         elif outcome in ANSWERED_OUTCOMES:
             if len(self._suspects):
                 self._knowledge.note_run(RunRecord(self.key, target.incarnation, False))
         elif outcome is None and self._attempt.stage is not Stage.ANSWERED:
-            self._endings.note_unanswered(target, self.key)
+            self._crash_detector.note_unanswered(target, self.key)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/verdict.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/verdict.py
@@ -1,5 +1,5 @@
 """
-Determines the outcome of a send from the answer, and reads the rest of long answers.
+Classifies the responses of targets and streams the rest of long ones.
 """
 
 from plumsaddle_core.core.traffic import Reply, SendOutcome
@@ -39,21 +39,21 @@
 
 class ReplyRest:
     """
-    The rest of a long answer, which is streamed.
+    The rest of a long response, which is streamed.
 
     Args:
       exchange: The `Exchange`.
-      link: Its `TargetConnection`, which `close` closes.
+      connection: Its `TargetConnection`, which `close` closes.
     """
 
-    def __init__(self, exchange, link):
+    def __init__(self, exchange, connection):
         self._exchange = exchange
-        self._link = link
+        self._connection = connection
 
     async def read(self):
-        """Return the next part, b"" at the end, or None if the answer is incomplete."""
+        """Return the next part, b"" at the end, or None for an incomplete response."""
         exchange = self._exchange
-        self._link.resume_reading()
+        self._connection.resume_reading()
         while not exchange.body and exchange.outcome is None:
             await exchange.wait()
         if exchange.body:
@@ -64,4 +64,4 @@
 
     def close(self):
         """Close the connection."""
-        self._link.close()
+        self._connection.close()
