--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
@@ -1,12 +1,11 @@
 """
-Take failing targets out, keep the floor, and let them back in.
-
-`review` is run a few times a second for each service. It reads the evidence and
-changes the standing of the targets, and it tells what it did. The floor is kept by
-each host for itself: it ejects only while at least `floor` targets that are neither
-leaving nor cold are left in its own choice. Nothing that other hosts do or say
-enters into that count, so it holds through any partition; and as every host gives
-work to at least that many targets, so does the fleet.
+Ejects failing targets, never below the floor, and readmits them.
+
+`update_health` runs a few times a second for each service, and updates the health
+states of its targets from the evidence. Each host enforces the floor on its own: it
+ejects a target only while at least `floor` others are neither draining nor in their
+slow start. This depends on nothing that other hosts report, so it holds in any
+partition; and since every host uses at least that many targets, so does the fleet.
 """
 
 import math
@@ -14,19 +13,19 @@
 
 from ..core.data import HealthState
 from ..core.ids import TargetKey
-from .pool import SLOW_START_FOR, TRIALS_NEEDED
+from .pool import SLOW_START_DURATION, TRIALS_NEEDED
 
-BACK_OFF = 5.0
-BACK_OFF_MOST = 300.0
-FORGIVEN_AFTER = 600.0
-SUSPECT = 1 / 3
-SHARED_SHARE = 0.5
-SELF_SHARE = 0.5
-SELF_FEWEST = 3
+MIN_BACKOFF = 5.0
+MAX_BACKOFF = 300.0
+BACKOFF_RESET_AFTER = 600.0
+SUSPECT_SCORE = 1 / 3
+COMMON_FAILURE_SHARE = 0.5
+LOCAL_FAULT_SHARE = 0.5
+MIN_TARGETS_JUDGED = 3
 
 
-class Change(NamedTuple):
-    """A target whose standing changed, and why."""
+class HealthChange(NamedTuple):
+    """A change of a target's health state, and its reason."""
 
     target: TargetKey
     old: HealthState
@@ -36,76 +35,78 @@
 
 def update_health(pool, evidence, now, rng, is_dependency_failing, is_suspect_itself):
     """
-    Bring the standing of a service's targets up to date.
+    Update the health states of a service's targets.
 
     Args:
       pool: The `Pool`; it is changed.
       evidence: The service's `Evidence`.
       now: The present, in seconds.
-      rng: A `random.Random`, for back-offs that do not end all at once.
-      is_dependency_failing: Whether a service that this one needs fails as a whole.
-      is_suspect_itself: Whether this host is likely the one that is bad.
+      rng: A `random.Random`, for the jitter of back-offs.
+      is_dependency_failing: Whether a service that this one depends on has a common
+        failure.
+      is_suspect_itself: Whether the fault is more likely on this host.
     Returns:
-      A list of `Change`.
+      A list of `HealthChange`.
     """
     changes = []
-    pool.has_common_failure = is_dependency_failing or _fails_alike(pool, evidence, now)
+    pool.has_common_failure = is_dependency_failing or _is_common_failure(
+        pool, evidence, now
+    )
     for key, member in pool.members.items():
-        _mark_avoided(member, evidence.score(key, now))
-        changes += _let_back(member, evidence, now, rng)
+        _update_avoided(member, evidence.score(key, now))
+        changes += _readmit(member, evidence, now, rng)
     if not pool.has_common_failure and not is_suspect_itself:
         changes += _eject_worst(pool, evidence, now, rng)
-    changes += keep_floor(pool, evidence, now)
+    changes += enforce_floor(pool, evidence, now)
     return changes
 
 
-def _fails_alike(pool, evidence, now):
-    """Return whether so many targets look bad that the cause is elsewhere."""
-    staying = [
+def _is_common_failure(pool, evidence, now):
+    """Return whether so many targets look bad that they must share a cause."""
+    not_draining = [
         key
         for key, member in pool.members.items()
         if member.health is not HealthState.DRAINING
     ]
     bad = [
         key
-        for key in staying
+        for key in not_draining
         if pool.members[key].health in (HealthState.EJECTED, HealthState.TRIAL)
-        or evidence.score(key, now).total >= SUSPECT
+        or evidence.score(key, now).total >= SUSPECT_SCORE
     ]
-    return len(staying) > 1 and len(bad) > SHARED_SHARE * len(staying)
+    return len(not_draining) > 1 and len(bad) > COMMON_FAILURE_SHARE * len(not_draining)
 
 
-def _mark_avoided(member, score):
+def _update_avoided(member, score):
     """
-    Use a target last that looks bad from here, whatever others see.
+    Avoid a target that is suspect from this host, whatever other hosts see.
 
-    A cut between this host and the target is no fault of the target's: others
-    reach it, so it is not ejected. Here it fails all the same, so work goes to the
-    others first. It is enough to be suspicious, since avoiding takes nothing away.
+    If the path from this host to a target is broken, other hosts still reach it and it
+    is not ejected, but this host prefers its other targets.
     """
-    member.is_avoided = score.own >= SUSPECT
+    member.is_avoided = score.own >= SUSPECT_SCORE
 
 
 def _eject_worst(pool, evidence, now, rng):
-    """Eject convicted targets, worst first, as far as the floor allows."""
+    """Eject failing targets, the worst first, as far as the floor allows."""
     scored = [
         (evidence.score(key, now), key)
         for key, member in pool.members.items()
         if member.health
         in (HealthState.HEALTHY, HealthState.SLOW_START, HealthState.TRIAL)
     ]
-    convicted = sorted(
+    failing = sorted(
         (
             (score, key)
             for score, key in scored
-            if score.total >= 1.0 and evidence.stands_out(key, now)
+            if score.total >= 1.0 and evidence.is_outlier(key, now)
         ),
         reverse=True,
     )
     changes = []
-    for score, key in convicted:
+    for score, key in failing:
         is_warm = pool.members[key].health is HealthState.HEALTHY
-        if count_warm(pool) - is_warm < floor_of(pool):
+        if count_warm(pool) - is_warm < effective_floor(pool):
             break
         reason = (
             f"score {score.total:.1f}, own {score.own:.1f}, {score.observers} observers"
@@ -116,55 +117,63 @@
 
 
 def _eject(member, now, rng, reason):
-    """Take a target out, for longer each time it comes back and fails again."""
+    """Eject a target, with a back-off that doubles with each repeated ejection."""
     old = member.health
-    if now - member.since > FORGIVEN_AFTER:
+    if now - member.since > BACKOFF_RESET_AFTER:
         member.ejections = 0
-    pause = min(BACK_OFF_MOST, BACK_OFF * 2**member.ejections)
+    pause = min(MAX_BACKOFF, MIN_BACKOFF * 2**member.ejections)
     member.ejections += 1
     member.set_health(HealthState.EJECTED, now, reason)
     member.ejected_until = now + pause * rng.uniform(1.0, 1.5)
     member.trials = 0
-    return Change(member.target.key, old, member.health, reason)
+    return HealthChange(member.target.key, old, member.health, reason)
 
 
-def _let_back(member, evidence, now, rng):
-    """Move an ejected target on towards good standing."""
+def _readmit(member, evidence, now, rng):
+    """Move an ejected target to the next state towards HEALTHY, if it is due."""
     view = evidence.views.get(member.target.key)
     old = member.health
     if old is HealthState.EJECTED:
-        if view and view.bad_at > member.since and not math.isinf(member.ejected_until):
-            # Another host's trial has just failed; there is no need for one here.
-            pause = BACK_OFF * 2 ** min(member.ejections, 6)
-            bound = view.bad_at + min(BACK_OFF_MOST, pause) * rng.uniform(0.8, 1.0)
-            member.ejected_until = max(member.ejected_until, bound)
-            member.since = view.bad_at
+        if (
+            view
+            and view.last_bad_at > member.since
+            and not math.isinf(member.ejected_until)
+        ):
+            # The trial of another host has failed, so this host postpones its own.
+            pause = MIN_BACKOFF * 2 ** min(member.ejections, 6)
+            earliest = view.last_bad_at + min(MAX_BACKOFF, pause) * rng.uniform(
+                0.8, 1.0
+            )
+            member.ejected_until = max(member.ejected_until, earliest)
+            member.since = view.last_bad_at
         if now < member.ejected_until:
             return []
         member.trials = 0
         evidence.clear(member.target.key)
-        member.set_health(HealthState.TRIAL, now, "the back-off is over")
+        member.set_health(HealthState.TRIAL, now, "the back-off has ended")
     elif old is HealthState.TRIAL and member.trials >= TRIALS_NEEDED:
         evidence.clear(member.target.key)
-        member.set_health(HealthState.SLOW_START, now, f"{TRIALS_NEEDED} good trials")
-    elif old is HealthState.SLOW_START and now - member.since >= SLOW_START_FOR:
-        member.set_health(HealthState.HEALTHY, now, "the slow start is over")
+        member.set_health(
+            HealthState.SLOW_START, now, f"{TRIALS_NEEDED} successful trials"
+        )
+    elif old is HealthState.SLOW_START and now - member.since >= SLOW_START_DURATION:
+        member.set_health(HealthState.HEALTHY, now, "the slow start has ended")
     else:
         return []
-    return [Change(member.target.key, old, member.health, member.reason)]
+    return [HealthChange(member.target.key, old, member.health, member.reason)]
 
 
 def note_trial_result(member, is_good, now, rng):
     """
-    Take the result of a trial.
+    Process the result of a trial.
 
     Args:
-      member: A `Member` in trial; others are passed over.
-      is_good: Whether the target answered well.
+      member: A `PoolMember`; ignored unless its state is TRIAL.
+      is_good: Whether the trial succeeded.
       now: The present, in seconds.
       rng: A `random.Random`.
     Returns:
-      A list of `Change`.
+      A list of `HealthChange`.
     """
     if member.health is not HealthState.TRIAL:
         return []
@@ -174,93 +183,97 @@
     return [_eject(member, now, rng, "a trial failed")]
 
 
-def keep_floor(pool, evidence, now):
+def enforce_floor(pool, evidence, now):
     """
-    Take ejections back until the floor is met, the least bad target first.
+    Readmit ejected targets until the floor is met, the least often ejected ones first.
 
-    Targets may begin to leave, or be taken from the configuration, after others
-    were ejected. The ejected ones are then better than too few.
+    Targets may start to drain, or be removed from the configuration, after others were
+    ejected.
 
     Args:
       pool: The `Pool`; it is changed.
       evidence: The service's `Evidence`.
       now: The present, in seconds.
     Returns:
-      A list of `Change`.
+      A list of `HealthChange`.
     """
-    out = [
+    ejected = [
         member
         for member in pool.members.values()
         if member.health in (HealthState.EJECTED, HealthState.TRIAL)
     ]
-    out.sort(key=lambda member: (member.ejections, member.target.key), reverse=True)
+    ejected.sort(key=lambda member: (member.ejections, member.target.key), reverse=True)
     changes = []
-    while out and count_in(pool) < floor_of(pool):
-        member = out.pop()
+    while ejected and count_active(pool) < effective_floor(pool):
+        member = ejected.pop()
         old = member.health
         evidence.clear(member.target.key)
-        member.set_health(HealthState.SLOW_START, now, "the floor needs it")
-        changes.append(Change(member.target.key, old, member.health, member.reason))
+        member.set_health(HealthState.SLOW_START, now, "readmitted to meet the floor")
+        changes.append(
+            HealthChange(member.target.key, old, member.health, member.reason)
+        )
     return changes
 
 
-def _is_in(member):
+def _is_active(member):
     return member.health in (HealthState.HEALTHY, HealthState.SLOW_START)
 
 
-def count_in(pool):
-    """Return how many targets this host gives ordinary work to."""
-    return sum(_is_in(member) for member in pool.members.values())
+def count_active(pool):
+    """Return how many targets get ordinary requests from this host."""
+    return sum(_is_active(member) for member in pool.members.values())
 
 
 def count_warm(pool):
-    """Return how many targets are in and past their slow start."""
+    """Return how many targets are HEALTHY, and so past their slow start."""
     return sum(member.health is HealthState.HEALTHY for member in pool.members.values())
 
 
-def floor_of(pool):
-    """Return the floor, or the number of targets that stay if they are fewer."""
-    staying = sum(
+def effective_floor(pool):
+    """Return the floor, or the number of targets not draining if that is less."""
+    not_draining = sum(
         member.health is not HealthState.DRAINING for member in pool.members.values()
     )
-    return min(pool.service.floor, staying)
+    return min(pool.service.floor, not_draining)
 
 
 def set_draining(pool, keys, now):
     """
-    Give no new work to targets that leave, and take back those that stay after all.
+    Update which targets are draining and get no new requests.
 
     Args:
       pool: The `Pool`; it is changed.
-      keys: The keys of all targets that are known to leave.
+      keys: The keys of all targets that are known to be draining.
       now: The present, in seconds.
     Returns:
-      A list of `Change`.
+      A list of `HealthChange`.
     """
     changes = []
     for key, member in pool.members.items():
         old = member.health
         if key in keys and old is not HealthState.DRAINING:
-            member.set_health(HealthState.DRAINING, now, "the target is leaving")
+            member.set_health(HealthState.DRAINING, now, "the target is draining")
         elif key not in keys and old is HealthState.DRAINING:
-            member.set_health(HealthState.SLOW_START, now, "the target stays")
+            member.set_health(
+                HealthState.SLOW_START, now, "the target is no longer draining"
+            )
         else:
             continue
-        changes.append(Change(key, old, member.health, member.reason))
+        changes.append(HealthChange(key, old, member.health, member.reason))
     return changes
 
 
 def suspects_itself(pools_and_evidence, now):
     """
-    Tell whether this host finds most targets bad that the others find good.
+    Return whether this host sees most targets failing while others see them healthy.
 
-    A host whose network card or clock is broken would otherwise accuse everybody.
+    The cause is then likely on this host, such as a faulty network card or clock.
 
     Args:
       pools_and_evidence: Pairs of a `Pool` and its `Evidence`.
       now: The present, in seconds.
     Returns:
-      True if the fault is more likely here.
+      Whether the fault is more likely on this host.
     """
     judged = 0
     blamed = 0
@@ -271,6 +284,6 @@
                 continue
             judged += 1
             score = evidence.score(key, now)
-            is_contradicted = view.heard_good_at >= view.bad_at - 2.0
-            blamed += score.own >= SUSPECT and is_contradicted
-    return judged >= SELF_FEWEST and blamed > SELF_SHARE * judged
+            is_contradicted = view.last_remote_good_at >= view.last_bad_at - 2.0
+            blamed += score.own >= SUSPECT_SCORE and is_contradicted
+    return judged >= MIN_TARGETS_JUDGED and blamed > LOCAL_FAULT_SHARE * judged
--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
@@ -19,10 +19,10 @@
     Target,
 )
 from .ejection import (
-    count_in,
+    count_active,
     count_warm,
-    floor_of,
-    keep_floor,
+    effective_floor,
+    enforce_floor,
     note_trial_result,
     set_draining,
     suspects_itself,
@@ -263,11 +263,11 @@
         bench.fail_everywhere(bench.keys[number], 2.0)
         bench.review(2.1)
         bench.review(3.2)
-    assert count_in(bench.pool) == 3
+    assert count_active(bench.pool) == 3
     set_draining(bench.pool, {bench.keys[2]}, 4.0)
     set_draining(bench.pool, {bench.keys[2], bench.keys[3]}, 4.0)
-    keep_floor(bench.pool, bench.evidence, 4.1)
-    assert count_in(bench.pool) == 2
+    enforce_floor(bench.pool, bench.evidence, 4.1)
+    assert count_active(bench.pool) == 2
 
 
 def test_reused_address_starts_clean():
@@ -322,7 +322,7 @@
         now += 1.1
         before = count_warm(bench.pool)
         changes = bench.review(now)
-        assert count_in(bench.pool) >= floor_of(bench.pool)
+        assert count_active(bench.pool) >= effective_floor(bench.pool)
         if any(change.new is HealthState.EJECTED for change in changes):
             assert count_warm(bench.pool) >= min(before, floor)
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
@@ -1,11 +1,11 @@
 """
-The targets of one service as one host sees them, and which of them to use next.
+The targets of one service as seen by one host, and the choice of one for a request.
 
-With forty hosts in front of forty slots a host knows little of how busy a target
-is, and reports a second old mislead. What helps is the slot that this host freed
-last, and next to it any target that has not just shed. While nothing sheds, the
-choice is blind, so that work and evidence spread over all. Targets that only this host
-can't reach are used last; ejected and leaving ones not at all.
+A host doesn't know how much of a target's capacity the other hosts use. While no
+target sheds requests, one is chosen at random, so that load and health signals spread
+over all. Under contention the host prefers the target that last finished one of its
+requests. Targets with a broken path from this host are used last, ejected and draining
+ones not at all.
 """
 
 import math
@@ -14,23 +14,23 @@
 
 SHED_PAUSE = 0.015
 SHED_PAUSE_GROWTH = 2.0
-SHED_PAUSE_MOST = 0.24
+MAX_SHED_PAUSE = 0.24
 CONTENTION_WINDOW = 1.0
 TRIALS_NEEDED = 3
 TRIAL_PAUSE = 1.0
-SLOW_START_FOR = 10.0
+SLOW_START_DURATION = 10.0
 
 
-class Member:
-    """One target in a pool: what it is, how busy, and what it may be given."""
+class PoolMember:
+    """A target in a pool, with its health state and its load from this host."""
 
     def __init__(self, target, limit):
         self.target = target
         self.limit = limit
         self.in_flight = 0
         self.shed_at = -math.inf
-        self.sheds = 0
-        self.freed_at = -math.inf
+        self.consecutive_sheds = 0
+        self.released_at = -math.inf
         self.health = HealthState.HEALTHY
         self.is_avoided = False
         self.since = -math.inf
@@ -39,20 +39,23 @@
         self.trials = 0
         self.reason = ""
 
-    def set_health(self, standing, now, reason):
-        """Change the standing and keep when and why, for `explain`."""
-        self.health = standing
+    def set_health(self, health, now, reason):
+        """Set the health state, with its time and the reason that `explain` shows."""
+        self.health = health
         self.since = now
         self.reason = reason
 
-    def pause(self):
-        """Return the seconds to leave the target alone after its last shed."""
-        return min(SHED_PAUSE_MOST, SHED_PAUSE * SHED_PAUSE_GROWTH ** (self.sheds - 1))
+    def shed_pause(self):
+        """Return the seconds to wait after the target has shed a request."""
+        return min(
+            MAX_SHED_PAUSE,
+            SHED_PAUSE * SHED_PAUSE_GROWTH ** (self.consecutive_sheds - 1),
+        )
 
-    def allowance(self, now):
-        """Return how many requests this host may have at the target by now."""
+    def max_in_flight(self, now):
+        """Return how many requests this host may have in flight at the target."""
         if self.health is HealthState.SLOW_START:
-            share = min(1.0, (now - self.since) / SLOW_START_FOR)
+            share = min(1.0, (now - self.since) / SLOW_START_DURATION)
             return max(1, math.floor(self.limit * share))
         return self.limit
 
@@ -63,7 +66,7 @@
 
     Args:
       service: The `Service` in force.
-      hosts_max: The most hosts there may be at a time, replacements included.
+      hosts_max: The maximum number of hosts at a time, replacements included.
     """
 
     def __init__(self, service, hosts_max):
@@ -75,49 +78,51 @@
 
     def update(self, service, hosts_max, now):
         """
-        Take a newer configuration of the service.
+        Apply a newer configuration of the service.
 
-        A target keeps its standing while its id and its address stay the same. One
-        that comes new beside others may be cold and starts slowly.
+        A target keeps its state while its id and its address stay the same. One that
+        is added to a pool in use gets a slow start, as it may be cold.
 
         Args:
           service: The `Service`.
-          hosts_max: The most hosts there may be at a time.
+          hosts_max: The maximum number of hosts at a time.
           now: The present, in seconds.
         """
         is_first = not self.members
         self.service = service
         limit = host_limit(service, hosts_max)
-        fresh = {}
+        updated = {}
         for target in service.targets:
             member = self.members.get(target.key)
             if member is None:
-                member = Member(target, limit)
+                member = PoolMember(target, limit)
                 if not is_first:
-                    member.set_health(HealthState.SLOW_START, now, "it is new")
+                    member.set_health(
+                        HealthState.SLOW_START, now, "the target was added"
+                    )
             member.target = target
             member.limit = limit
-            fresh[target.key] = member
-        self.members = fresh
+            updated[target.key] = member
+        self.members = updated
 
     def choose(self, kind, now, rng, tried=()):
         """
-        Choose a target for a try.
+        Choose a target for an attempt.
 
         Args:
           kind: The request's `RequestKind`.
           now: The present, in seconds.
           rng: A `random.Random`.
-          tried: Keys of targets not to be tried again.
+          tried: Keys of targets that have been tried already.
         Returns:
-          A `Member`, or None if no target can take the request now.
+          A `PoolMember`, or None if no target can take the request now.
         """
         usable = [
             member
             for member in self.members.values()
-            if member.target.key not in tried and _may_take(member, kind, now)
+            if member.target.key not in tried and _is_usable(member, kind, now)
         ]
-        if kind is RequestKind.ORDER and self._has_good():
+        if kind is RequestKind.ORDER and self._has_healthy():
             usable = [m for m in usable if m.health is HealthState.HEALTHY]
         usable = _prefer(usable, lambda member: not member.is_avoided)
         if kind is RequestKind.IDEMPOTENT:
@@ -127,35 +132,35 @@
         if not usable:
             return None
         if self.is_contended(now):
-            freed = max(usable, key=lambda member: member.freed_at)
-            if now - freed.freed_at < SHED_PAUSE:
-                return freed
+            latest = max(usable, key=lambda member: member.released_at)
+            if now - latest.released_at < SHED_PAUSE:
+                return latest
         return rng.choice(usable)
 
-    def _has_good(self):
-        """Return whether any target is in good standing, busy or not."""
+    def _has_healthy(self):
+        """Return whether any target is HEALTHY, even if it is busy."""
         return any(m.health is HealthState.HEALTHY for m in self.members.values())
 
     def is_contended(self, now):
-        """Return whether a target has shed a request of this host's lately."""
+        """Return whether a target has recently shed a request of this host."""
         return now - self.shed_at < CONTENTION_WINDOW
 
     def healthy_keys(self):
-        """Return the keys of the targets in good standing."""
+        """Return the keys of the HEALTHY targets."""
         return [
             key for key, m in self.members.items() if m.health is HealthState.HEALTHY
         ]
 
     def has_trial(self, now):
-        """Return whether a target waits to be tried out."""
+        """Return whether a target is waiting for a trial request."""
         kind = RequestKind.IDEMPOTENT
         return any(
-            member.health is HealthState.TRIAL and _may_take(member, kind, now)
+            member.health is HealthState.TRIAL and _is_usable(member, kind, now)
             for member in self.members.values()
         )
 
     def is_worth_waiting(self, tried=()):
-        """Return whether a target may become free that could take a request."""
+        """Return whether a usable target may become free for a request."""
         return any(
             member.health not in (HealthState.EJECTED, HealthState.DRAINING)
             for key, member in self.members.items()
@@ -163,47 +168,46 @@
         )
 
     def acquire(self, member):
-        """Count a try that starts."""
+        """Take a slot of a target for an attempt."""
         member.in_flight += 1
 
     def release(self, member, now, is_shed=False):
-        """Count a try that ended, and whether the target shed it."""
+        """Release the slot of an attempt, and note whether the target shed it."""
         member.in_flight -= 1
-        assert member.in_flight >= 0, "a slot was freed twice"
+        assert member.in_flight >= 0, "a slot was latest twice"
         if is_shed:
             member.shed_at = self.shed_at = now
-            member.sheds += 1
-            member.freed_at = -math.inf
+            member.consecutive_sheds += 1
+            member.released_at = -math.inf
         else:
-            member.freed_at = now
-            member.sheds = 0
+            member.released_at = now
+            member.consecutive_sheds = 0
 
 
 def host_limit(service, hosts_max):
     """
-    Return how many requests one host may have at one target.
+    Return how many requests one host may have in flight at one target.
 
-    Every request has a connection of its own, so that the hosts together stay
-    below the target's bound on connections whatever they know of each other.
+    Each request uses its own connection. With this limit all hosts together stay
+    within the target's connection limit without any coordination.
     """
     return max(1, min(service.slots, service.connections // hosts_max))
 
 
-def _may_take(member, kind, now):
-    """Return whether a target may be given a request of this kind now."""
+def _is_usable(member, kind, now):
+    """Return whether a request of this kind may be sent to a target now."""
     if member.health in (HealthState.EJECTED, HealthState.DRAINING):
         return False
     if member.health is HealthState.TRIAL:
-        # A stalled target sheds its trials; tried at once again by every request,
-        # it would get more tries than all others together.
+        # A stalled target sheds its trials; without a pause each request would try it.
         is_rested = now - member.shed_at >= TRIAL_PAUSE
         is_idle = member.in_flight == 0
         return kind is RequestKind.IDEMPOTENT and is_idle and is_rested
-    if now - member.shed_at < member.pause():
+    if now - member.shed_at < member.shed_pause():
         return False
-    return member.in_flight < member.allowance(now)
+    return member.in_flight < member.max_in_flight(now)
 
 
-def _prefer(members, wish):
-    """Return those members that fulfil a wish, or all if none does."""
-    return [member for member in members if wish(member)] or members
+def _prefer(members, predicate):
+    """Return the members that satisfy a predicate, or all if none does."""
+    return [member for member in members if predicate(member)] or members
--- a/packages/plumsaddle-core/plumsaddle_core/ops/signs.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/signs.py
@@ -1,14 +1,14 @@
 """
-What a try says about its target, from how it ended or from its age so far.
+Derives health signals from the result of an attempt, or from its age so far.
 
-Health endpoints lie, so real work is the evidence. A shed request says nothing bad
-of a target, and neither does a caller that went away. Uploads are as long as their
-callers make them, so their time is not compared.
+Signals come from real requests, since health endpoints may answer while requests fail.
+Shed requests and disconnected callers give no signal. The duration of uploads depends
+on their callers, so it is ignored.
 """
 
 from ..core.data import FailureKind, HealthSignal, RequestKind
 
-BLAMED = {
+TARGET_FAILURES = {
     FailureKind.CONNECT,
     FailureKind.BROKEN,
     FailureKind.OVERDUE,
@@ -16,42 +16,42 @@
     FailureKind.UNFRAMED,
     FailureKind.ERROR,
 }
-BLAMELESS = {FailureKind.SHED, FailureKind.CALLER}
+NEUTRAL_FAILURES = {FailureKind.SHED, FailureKind.CALLER}
 
 
-def signal_of_result(kind, trouble, seconds, latency):
+def signal_of_result(kind, failure, seconds, latency):
     """
-    Return what the end of a try says.
+    Return the signal of a finished attempt.
 
     Args:
       kind: The request's `RequestKind`.
-      trouble: A `FailureKind`, or None after a whole answer.
-      seconds: How long the try took.
+      failure: A `FailureKind`, or None after a complete response.
+      seconds: The duration of the attempt.
       latency: The `Latency` of the service for this kind.
     Returns:
-      A `HealthSignal`, or None if it says nothing.
+      A `HealthSignal`, or None if the result gives none.
     """
-    if trouble in BLAMELESS:
+    if failure in NEUTRAL_FAILURES:
         return None
-    if trouble in BLAMED:
+    if failure in TARGET_FAILURES:
         return HealthSignal.FAILED
-    if trouble is FailureKind.DEADLINE:
+    if failure is FailureKind.DEADLINE:
         return signal_of_age(kind, seconds, latency)
     return HealthSignal.SLOW if _is_slow(kind, seconds, latency) else HealthSignal.GOOD
 
 
 def signal_of_age(kind, seconds, latency):
     """
-    Return what the age of an unfinished try says.
+    Return the signal of an unfinished attempt.
 
-    A stalled target would otherwise be noticed only when its callers' time is up.
+    It detects a stalled target before its requests reach their deadlines.
 
     Args:
       kind: The request's `RequestKind`.
-      seconds: How long the try has taken so far.
+      seconds: The age of the attempt.
       latency: The `Latency` of the service for this kind.
     Returns:
-      A `HealthSignal`, or None if it says nothing yet.
+      A `HealthSignal`, or None if the attempt gives none yet.
     """
     overdue_after = latency.overdue_after()
     if kind is RequestKind.UPLOAD or overdue_after is None:
