--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours.py
@@ -41,10 +41,10 @@
 HUB_RETRY_DELAY = 5.0
 # Hosts of a data centre that follow the store. Two, so that changes are still received
 # until the loss of one is detected.
-READERS = 2
+READER_COUNT = 2
 # Hosts of a data centre that poll an unavailable store at short intervals. Several, as
 # some of them may be unable to reach it.
-STORE_PROBERS = 4
+STORE_PROBER_COUNT = 4
 
 
 class StoreStatus(enum.Enum):
@@ -202,11 +202,11 @@
         preceding = [
             h for h in self._preceding_readers(now) if h.contact is not StoreStatus.AWAY
         ]
-        return len(preceding) < READERS
+        return len(preceding) < READER_COUNT
 
     def is_store_prober(self, now):
         """Return whether this host should poll an unavailable store."""
-        return len(self._preceding_readers(now)) < STORE_PROBERS
+        return len(self._preceding_readers(now)) < STORE_PROBER_COUNT
 
     def _preceding_readers(self, now):
         """Return the live hosts that precede this one in the order of readers."""
--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
@@ -5,9 +5,9 @@
 from .neighbours import (
     HUB_RETRY_DELAY,
     HUB_TIMEOUT,
+    READER_COUNT,
     READER_TIMEOUT,
-    READERS,
-    STORE_PROBERS,
+    STORE_PROBER_COUNT,
     PeerTable,
     StoreStatus,
 )
@@ -37,9 +37,9 @@
         table.pick_hub(0.1)
     assert {table.hub or name for name, table in tables.items()} == {NAMES[7]}
     readers = [n for n, t in tables.items() if t.is_reader(StoreStatus.TOLD, 0.1)]
-    assert len(readers) == READERS
+    assert len(readers) == READER_COUNT
     askers = [n for n, t in tables.items() if t.is_store_prober(0.1)]
-    assert len(askers) == STORE_PROBERS
+    assert len(askers) == STORE_PROBER_COUNT
 
 
 def test_a_reader_that_lost_the_store_is_replaced_by_the_next():
@@ -54,7 +54,7 @@
                 table.update(name, 0.0, StoreStatus.AWAY)
     contacts = {n: StoreStatus.AWAY if n in lost else StoreStatus.TOLD for n in NAMES}
     readers = [n for n, t in tables.items() if t.is_reader(contacts[n], 0.1)]
-    assert len(readers) == READERS
+    assert len(readers) == READER_COUNT
     assert not set(readers) & set(lost)
 
 
@@ -71,7 +71,7 @@
         for n, t in tables.items()
         if n not in lost and t.is_reader(StoreStatus.TOLD, at)
     ]
-    assert len(readers) == READERS
+    assert len(readers) == READER_COUNT
     assert READER_TIMEOUT < 1.5
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -14,7 +14,7 @@
     ECHO_TIMEOUT,
     HUB_RETRY_DELAY,
     HUB_TIMEOUT,
-    READERS,
+    READER_COUNT,
 )
 from plumsaddle_core.ops.news import HealthSignal, target_tag
 from plumsaddle_core.ops.suspects import RunRecord
@@ -547,7 +547,9 @@
     ]
     assert sum(speaks[:6]) == sum(speaks[6:]) == 1
     for centre in (hosts[:6], hosts[6:]):
-        assert sum(peers._reader_role.is_reader for peers, _, _ in centre) == READERS
+        assert (
+            sum(peers._reader_role.is_reader for peers, _, _ in centre) == READER_COUNT
+        )
 
 
 def test_records_are_told_from_their_first_offset(net):
