--- a/packages/plumsaddle-core/plumsaddle_core/ops/elsewhere.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/elsewhere.py
@@ -29,13 +29,13 @@
           load: The `RemoteLoad`.
           now: The current time, in seconds.
         """
-        known, _ = self._loads.get(load.centre, (None, 0.0))
+        known, _ = self._loads.get(load.data_centre, (None, 0.0))
         is_same = known is not None and (known.host, known.incarnation) == (
             load.host,
             load.incarnation,
         )
         if not is_same or load.number > known.number:
-            self._loads[load.centre] = (load, now)
+            self._loads[load.data_centre] = (load, now)
             self.apply_total(self._compute_total(now), now)
 
     def _compute_total(self, now):
@@ -45,7 +45,7 @@
         ]
         for load in loads:
             total.update(load.counts)
-        return RemoteLoadTotal(tuple(load.centre for load in loads), dict(total))
+        return RemoteLoadTotal(tuple(load.data_centre for load in loads), dict(total))
 
     def total(self, now):
         """Return the latest `RemoteLoadTotal`, empty if it is out of date."""
@@ -62,7 +62,10 @@
 
     def is_known(self, centre, now):
         """Return whether a data centre's load is known and up to date."""
-        return centre in self._total.centres and now - self._total_at < REMOTE_LOAD_TTL
+        return (
+            centre in self._total.data_centres
+            and now - self._total_at < REMOTE_LOAD_TTL
+        )
 
     def in_flight(self, tag):
         """Return the requests in flight at a target from all other data centres."""
--- a/packages/plumsaddle-core/plumsaddle_core/ops/news.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/news.py
@@ -113,7 +113,7 @@
     `counts` is keyed by target tag. `number` is the sequence number of the message.
     """
 
-    centre: DataCentre
+    data_centre: DataCentre
     host: HostId
     incarnation: int
     number: int
@@ -123,7 +123,7 @@
 class RemoteLoadTotal(NamedTuple):
     """Requests in flight from several data centres together, by target tag."""
 
-    centres: tuple[DataCentre, ...]
+    data_centres: tuple[DataCentre, ...]
     counts: dict[int, int]
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/bundles.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/bundles.py
@@ -87,12 +87,12 @@
             DataCentreQuotas(data_centre, host_count, list(rows.values()))
             for data_centre, (host_count, rows) in self._quotas.items()
         ]
-        has_load_total = load_total is not None and bool(load_total.centres)
+        has_load_total = load_total is not None and bool(load_total.data_centres)
         if has_load_total or any(data_centre.rows for data_centre in quotas):
             bundle = Bundle(quotas=quotas)
             if has_load_total:
                 bundle.data_centres, bundle.load = (
-                    list(load_total.centres),
+                    list(load_total.data_centres),
                     load_total.counts,
                 )
             for_clients.append(encode_bundle(bundle))
