--- a/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
@@ -101,7 +101,7 @@
             return None
         trial = find_trial(
             *list_targets(),
-            lambda target_id: shared.failing_probability(target_id, now),
+            lambda incarnation: shared.failing_probability(incarnation, now),
             shared.last_used_at,
             floor_share,
             now,
@@ -112,30 +112,31 @@
 
 
 def find_trial(
-    target_ids, eligible_ids, failing_probability, used_at, floor_share, now
+    incarnations, eligible, failing_probability, last_used_at, floor_share, now
 ):
     """
     Return the target to try so that enough of the healthy capacity is in use.
 
     Args:
-      target_ids: The usable targets of a service.
-      eligible_ids: Those that this host may try.
+      incarnations: The usable targets of a service.
+      eligible: Those that this host may try.
       failing_probability: A function that returns a target's failing probability.
-      used_at: A function that returns when a target last got a request.
+      last_used_at: A function that returns when a target last got a request.
       floor_share: The configured share of the healthy capacity to keep in use.
       now: The current time in seconds.
     Returns:
       An id, or None if no trial is needed or possible.
     """
     healthy = {
-        target_id: 1.0 - failing_probability(target_id) for target_id in target_ids
+        incarnation: 1.0 - failing_probability(incarnation)
+        for incarnation in incarnations
     }
-    unused = [t for t in target_ids if now - used_at(t) > UNUSED_AFTER]
+    unused = [t for t in incarnations if now - last_used_at(t) > UNUSED_AFTER]
     capacity = sum(healthy.values())
     in_use = capacity - sum(healthy[t] for t in unused)
     if not unused or in_use >= (floor_share + FLOOR_MARGIN) * capacity:
         return None
-    candidates = [target_id for target_id in unused if target_id in eligible_ids]
+    candidates = [incarnation for incarnation in unused if incarnation in eligible]
     if not candidates:
         return None
     best = max(candidates, key=healthy.get)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -117,12 +117,12 @@
         self._started_at = started_at
         self._retry_budgets = {}
         self._results = {}
-        self._used_at = {}
+        self._last_used_at = {}
         self._own_counts = {}
         self._max_host_count = 1
         self._restarts = deque()
         self._own_in_flight = {}
-        self._local_used_at = {}
+        self._local_last_used_at = {}
         self._peers = {}
         self._peers_in_flight = Counter()
         self._remote_inboxes = {}
@@ -133,26 +133,26 @@
 
     # Requests and sends of this host.
 
-    def note_send_start(self, target_id, now):
+    def note_send_start(self, incarnation, now):
         """Record that this host has started a send."""
-        self._note_used(target_tag(target_id), now)
-        self._own_in_flight[target_id] = self._own_in_flight.get(target_id, 0) + 1
+        self._note_used(target_tag(incarnation), now)
+        self._own_in_flight[incarnation] = self._own_in_flight.get(incarnation, 0) + 1
 
-    def note_send_end(self, target_id):
+    def note_send_end(self, incarnation):
         """Record that one of this host's sends has ended."""
-        left = self._own_in_flight[target_id] - 1
+        left = self._own_in_flight[incarnation] - 1
         assert left >= 0, "a send ended twice"
         if left:
-            self._own_in_flight[target_id] = left
+            self._own_in_flight[incarnation] = left
         else:
-            del self._own_in_flight[target_id]
+            del self._own_in_flight[incarnation]
 
-    def note_outcome(self, target_id, service, route, signal, seconds, now):
+    def note_outcome(self, incarnation, service, route, signal, seconds, now):
         """
         Record the outcome of one of this host's sends and queue it for other hosts.
 
         Args:
-          target_id: The incarnation of the target.
+          incarnation: The incarnation of the target.
           service: The target's service.
           route: The name of the request's route.
           sign: The `HealthSignal`.
@@ -160,10 +160,10 @@
           now: The current time, in seconds.
         """
         number = self.outcomes.count
-        outcome = OutcomeRecord(number, target_id, service, route, signal, seconds)
+        outcome = OutcomeRecord(number, incarnation, service, route, signal, seconds)
         self.outcomes.add(outcome)
         path_ratio = self._apply_outcome(outcome, now)
-        self._update_path(target_id, path_ratio, now)
+        self._update_path(incarnation, path_ratio, now)
 
     def note_request(self, service, now):
         """Record a request to a service at this host."""
@@ -217,18 +217,18 @@
     def own_in_flight(self):
         """Return this host's requests in flight by target tag."""
         return {
-            target_tag(target_id): count
-            for target_id, count in self._own_in_flight.items()
+            target_tag(incarnation): count
+            for incarnation, count in self._own_in_flight.items()
         }
 
     def tags_used_since(self, since):
         """Return the tags of targets that the data centre has sent to since a time."""
-        return [tag for tag, at in self._local_used_at.items() if at >= since]
+        return [tag for tag, at in self._local_last_used_at.items() if at >= since]
 
     def _note_used(self, tag, now):
         """Record that a host of the data centre sent to a target."""
-        self._used_at[tag] = now
-        self._local_used_at[tag] = now
+        self._last_used_at[tag] = now
+        self._local_last_used_at[tag] = now
 
     # Updates from other hosts.
 
@@ -297,10 +297,10 @@
         if inbox.incarnation != update.incarnation:
             inbox.reset(update.incarnation)
         for tag in update.used:
-            self._used_at[tag] = now
+            self._last_used_at[tag] = now
         unseen = inbox.unseen(update.evidence)
         for evidence in unseen:
-            self._used_at[target_tag(evidence.target)] = now
+            self._last_used_at[target_tag(evidence.target)] = now
             # Some failures are visible from one data centre only, so remote evidence
             # has half the weight of local evidence.
             self._estimator(evidence.target).update(math.sqrt(evidence.ratio), now)
@@ -351,9 +351,9 @@
         lost = missing + len(self._restarts)
         return lost >= max(MIN_LOST_HOSTS, LOST_HOST_RATIO * self._max_host_count)
 
-    def last_used_at(self, target_id):
+    def last_used_at(self, incarnation):
         """Return when a host of any data centre last sent to a target."""
-        return self._used_at.get(target_tag(target_id), -math.inf)
+        return self._last_used_at.get(target_tag(incarnation), -math.inf)
 
     def evict_silent(self, now):
         """Evict hosts that have stopped sending, and return their ids."""
@@ -379,10 +379,10 @@
 
     # Totals and estimates.
 
-    def in_flight(self, target_id):
+    def in_flight(self, incarnation):
         """Return the requests in flight at a target from all known hosts."""
-        tag = target_tag(target_id)
-        here = self._own_in_flight.get(target_id, 0) + self._peers_in_flight[tag]
+        tag = target_tag(incarnation)
+        here = self._own_in_flight.get(incarnation, 0) + self._peers_in_flight[tag]
         return here + self._remote_loads.in_flight(tag)
 
     def apply_remote_load(self, load, now):
@@ -405,26 +405,26 @@
         """Return the requests in flight from this data centre by target tag."""
         return dict(self._peers_in_flight + Counter(self.own_in_flight()))
 
-    def failure_probability(self, target_id, now):
+    def failure_probability(self, incarnation, now):
         """Return the probability that a send from this host to a target fails."""
         target_fails = self.target_estimators.get(
-            target_id, _PRIOR
+            incarnation, _PRIOR
         ).failure_probability(now)
         path_fails = self.path_estimators.get(
-            target_id, _PATH_PRIOR
+            incarnation, _PATH_PRIOR
         ).failure_probability(now)
         return 1.0 - (1.0 - target_fails) * (1.0 - path_fails)
 
-    def is_path_broken(self, target_id, now):
+    def is_path_broken(self, incarnation, now):
         """Return whether this host's network path to a target is probably broken."""
         return (
-            self.path_estimators.get(target_id, _PATH_PRIOR).failing_probability(now)
+            self.path_estimators.get(incarnation, _PATH_PRIOR).failing_probability(now)
             >= BROKEN_PATH_THRESHOLD
         )
 
-    def failing_probability(self, target_id, now):
+    def failing_probability(self, incarnation, now):
         """Return the probability that a target is in its failing state."""
-        return self.target_estimators.get(target_id, _PRIOR).failing_probability(now)
+        return self.target_estimators.get(incarnation, _PRIOR).failing_probability(now)
 
     def evict_targets(self, known, now):
         """Evict the state of incarnations that are no longer listed."""
@@ -436,14 +436,14 @@
         }
         self.limits.advertised.evict(known, now)
         tags = {target_tag(key) for key in known}
-        for tag in self._used_at.keys() - tags:
-            del self._used_at[tag]
-            self._local_used_at.pop(tag, None)
+        for tag in self._last_used_at.keys() - tags:
+            del self._last_used_at[tag]
+            self._local_last_used_at.pop(tag, None)
 
-    def _estimator(self, target_id):
-        estimator = self.target_estimators.get(target_id)
+    def _estimator(self, incarnation):
+        estimator = self.target_estimators.get(incarnation)
         if estimator is None:
-            estimator = self.target_estimators[target_id] = FailureEstimator()
+            estimator = self.target_estimators[incarnation] = FailureEstimator()
         return estimator
 
     def _apply_outcome(self, outcome, now):
@@ -469,13 +469,13 @@
                 self.evidence.add(Evidence(number, outcome.target, ratio))
         return path_ratio
 
-    def _update_path(self, target_id, ratio, now):
+    def _update_path(self, incarnation, ratio, now):
         """Update the failure estimate of this host's path to a target."""
-        path = self.path_estimators.get(target_id)
+        path = self.path_estimators.get(incarnation)
         if path is None:
             if ratio < 1.0 or not self._has_paths:
                 return
-            path = self.path_estimators[target_id] = FailureEstimator(PATH_MODEL)
+            path = self.path_estimators[incarnation] = FailureEstimator(PATH_MODEL)
         path.update(ratio, now)
 
     def _likelihood_ratio(self, outcome):
