--- a/packages/plumsaddle-core/plumsaddle_core/limits/advertised.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/advertised.py
@@ -30,7 +30,7 @@
     """
     An entry in a gossip message.
 
-    `rate` is in requests a second over all hosts, or `NO_LIMIT`.
+    `rate` is in requests per second over all hosts, or `NO_LIMIT`.
     """
 
     incarnation: TargetIncarnation
@@ -46,7 +46,7 @@
     def __init__(self):
         self.version = 0
         self.rate = NO_LIMIT
-        # When this host learned the present rate, and since when there is a limit.
+        # When this host learned the current rate, and since when there is a limit.
         self.known_at = self.since = -math.inf
 
 
@@ -70,7 +70,7 @@
         return len(self._limited)
 
     def rate(self, incarnation):
-        """Return the limit of a target in requests a second, or None."""
+        """Return the limit of a target in requests per second, or None."""
         return self._limited.get(incarnation)
 
     def since(self, incarnation):
@@ -83,9 +83,9 @@
 
         Args:
           incarnation: The target's incarnation.
-          rate: The limit in requests a second, or None if the answer has none.
+          rate: The limit in requests per second, or None if the answer has none.
           sent_at: When the request was sent, in seconds.
-          now: The present, in seconds.
+          now: The current time in seconds.
         Returns:
           Whether the limit has changed.
         """
@@ -111,7 +111,7 @@
           row: The `LimitRow`.
           is_local: Whether a host of this data centre sent it; then this data centre
             forwards it to the others.
-          now: The present, in seconds.
+          now: The current time in seconds.
         Returns:
           Whether it was newer than this host's entry.
         """
--- a/packages/plumsaddle-core/plumsaddle_core/limits/bucket.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/bucket.py
@@ -10,9 +10,9 @@
     It starts empty, since the previous holder of a share may have just used it up.
 
     Args:
-      rate: Tokens a second.
+      rate: Tokens per second.
       capacity: The maximum number of tokens.
-      now: The present, in seconds.
+      now: The current time in seconds.
     """
 
     __slots__ = ("_tokens", "_updated_at", "capacity", "rate")
--- a/packages/plumsaddle-core/plumsaddle_core/limits/meter.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/meter.py
@@ -60,7 +60,7 @@
     Return the number of requests that may be admitted in a window.
 
     Args:
-      rate: Requests a second.
+      rate: Requests per second.
       burst: Requests in addition to the rate.
       tolerance: The `Tolerance`.
     """
@@ -97,12 +97,12 @@
     The requests of one workspace admitted in the last window, and its demand.
 
     Args:
-      rate: The workspace's limit over all hosts, in requests a second.
+      rate: The workspace's limit over all hosts, in requests per second.
       capacity: The `window_capacity` of the limit.
       window: The length of the window, in seconds.
       counted_since: When this host began to count. Before that the rate is assumed to
         have been used up, so that a restart of all hosts does not reset the limits.
-      now: The present, in seconds.
+      now: The current time in seconds.
     """
 
     __slots__ = (
@@ -171,14 +171,14 @@
           admitted: How many of them were admitted; `note_admitted` counts them.
           is_known: Whether the host has reported the workspace before. The time span of
             a first report is unknown, so it gives no rate.
-          now: The present, in seconds.
+          now: The current time in seconds.
         """
         self.note_requested(requested, now)
         if is_known:
             self._reported.add(admitted, now)
 
     def demand(self, now):
-        """Return the demand on all hosts, in requests a second."""
+        """Return the demand on all hosts, in requests per second."""
         return self._demand.at(now) / self._demand_window
 
     def remaining(self, now):
@@ -197,8 +197,8 @@
 
         Args:
           share: The share of the limit that belongs to the reachable hosts.
-          demand: The demand on these hosts, in requests a second.
-          now: The present, in seconds.
+          demand: The demand on these hosts, in requests per second.
+          now: The current time in seconds.
         """
         reported = min(demand, self._reported.at(now) / REPORTED_WINDOW)
         remaining = self.remaining(now) - GOSSIP_DELAY * max(0.0, reported)
@@ -226,7 +226,7 @@
         Args:
           demand: As for `admission_probability`.
           jitter: A random number from 0.0 to 1.0, drawn for the caller.
-          now: The present, in seconds.
+          now: The current time in seconds.
         """
         shortfall = MARGIN_FRACTION * self.capacity + 1.0 - self.remaining(now)
         available_at = now
--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -47,7 +47,7 @@
     Whether a request is within its workspace's limit.
 
     `retry_after` is in seconds. The other fields are the inputs of the decision: the
-    remaining requests, the demand on all hosts in requests a second, the share of the
+    remaining requests, the demand on all hosts in requests per second, the share of the
     limit of the reachable hosts, and the number of unreachable hosts.
     """
 
@@ -88,7 +88,7 @@
         self.liveness_revision = 0
 
     def add_sample(self, now):
-        """Record a sample of the present demand."""
+        """Record a sample of the current demand."""
         everywhere = self.local.requested(now) + self.remote.requested(now)
         self.samples.append((self.own.requested(now), everywhere))
 
@@ -121,7 +121,7 @@
 
         Args:
           workspaces: The `Workspace` tuples.
-          now: The present, in seconds.
+          now: The current time in seconds.
         """
         if self._started_at is None:
             self._started_at = now
@@ -153,7 +153,7 @@
 
         Args:
           workspace: The `Workspace`, or None for a request without one.
-          now: The present, in seconds.
+          now: The current time in seconds.
         Returns:
           A `QuotaDecision`.
         """
@@ -182,7 +182,7 @@
 
     def _demand(self, state, now):
         """
-        Return the demand on the reachable hosts, in requests a second.
+        Return the demand on the reachable hosts, in requests per second.
 
         An isolated host sees few requests, so it averages over a longer time.
         """
@@ -285,7 +285,7 @@
           host: The host's id.
           incarnation: A number drawn at random at each start of the host.
           rows: The `QuotaRow`s.
-          now: The present, in seconds.
+          now: The current time in seconds.
         """
         source = self._liveness.note_host_message(host, incarnation, now)
         for row in rows:
@@ -302,7 +302,7 @@
           data_centre: The `DataCentre`.
           hosts: Its `HostCount`.
           rows: The `QuotaRow`s.
-          now: The present, in seconds.
+          now: The current time in seconds.
         """
         source = self._liveness.note_data_centre_report(data_centre, hosts, now)
         for row in rows:
--- a/packages/plumsaddle-core/plumsaddle_core/limits/shares.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/shares.py
@@ -6,7 +6,7 @@
 in proportion to its demand. A host may send to the targets whose intervals overlap its
 own, at the rate of the overlap. So the shares of a target add up to its limit, few
 hosts have a share in it, and every host has a share in some target while the rates
-allow one request a second per host. At lower rates only some hosts have shares. All
+allow one request per second and host. At lower rates only some hosts have shares. All
 hosts compute the same layout from the gossiped demand, without further coordination.
 """
 
@@ -29,14 +29,14 @@
 
 
 class HostDemand(NamedTuple):
-    """A host, and its demand for a service in requests a second."""
+    """A host, and its demand for a service in requests per second."""
 
     host: HostId
     demand: float
 
 
 class LimitedTarget(NamedTuple):
-    """A target, and its limit over all hosts in requests a second."""
+    """A target, and its limit over all hosts in requests per second."""
 
     incarnation: TargetIncarnation
     rate: float
@@ -51,7 +51,7 @@
       hosts: The `HostDemand` of each host there, the host itself included.
       own: The host's id.
     Returns:
-      The requests a second that the host may send, by target incarnation. Targets in
+      The requests per second that the host may send, by target incarnation. Targets in
       which it has no share are left out.
     """
     total = sum(target.rate for target in targets)
--- a/packages/plumsaddle-core/plumsaddle_core/limits/sums.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/sums.py
@@ -92,7 +92,7 @@
           row: The fields of a `QuotaRow`.
           recovered_at: When the source became reachable again, in seconds. Requests
             that it admitted before were estimated and are not counted again.
-          now: The present, in seconds.
+          now: The current time in seconds.
           is_partial: Whether two hosts may report for the source.
         Returns:
           The numbers of all and of admitted requests.
--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
@@ -3,10 +3,10 @@
 
 While a target advertises a limit, only hosts of its own data centre send to it. Hosts
 of other data centres have targets of their own, and gossip between data centres is too
-slow to share a rate of a few requests a second. Each host enforces its share by a token
-bucket, and if no other target is usable, a request may wait for the next token. Even at
-a limit of zero a target is sent a request now and then, since only an answer shows that
-the limit has ended.
+slow to share a rate of a few requests per second. Each host enforces its share by a
+token bucket, and if no other target is usable, a request may wait for the next token.
+Even at a limit of zero a target is sent a request now and then, since only a response
+shows that the limit has ended.
 """
 
 import random
@@ -38,7 +38,7 @@
     def __init__(self):
         self.shares_key = None
         self.buckets = {}
-        # The rate of all limited targets of the data centre, in requests a second.
+        # The rate of all limited targets of the data centre, in requests per second.
         self.total_rate = 0.0
 
 
@@ -66,7 +66,7 @@
           data_centre: The host's data centre.
           max_wait: The maximum seconds that the request may wait for a token.
           revision: The revision of the list of targets.
-          now: The present, in seconds.
+          now: The current time in seconds.
         """
         if not self.advertised or not targets:
             return targets
