--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours.py
@@ -7,9 +7,10 @@
 forward its changes.
 
 There is no election protocol. Each host chooses the hub and the readers from the hosts
-that it hears from, in a fixed order, so hosts with the same view choose the same. With
-different views there may briefly be two hubs, which costs extra datagrams only: each
-sends its clients' updates to all hosts, and those of other hubs to its clients.
+that it receives messages from, in a fixed order, so hosts with the same view choose the
+same. With different views there may briefly be two hubs, which costs extra datagrams
+only: each sends its clients' updates to all hosts, and those of other hubs to its
+clients.
 """
 
 import enum
@@ -19,17 +20,17 @@
 
 from ..core.ids import Address
 
-# Hosts that sent nothing for this long (seconds) are evicted. Longer than a restart
-# takes, so that a restarted host is found again without a seed.
+# Seconds without a message after which a host is evicted. Longer than a restart takes,
+# so that a restarted host is found again without a seed.
 PEER_TTL = 12.0
-# Hosts that sent nothing for this long (seconds) are not chosen as the hub. Heartbeats
-# are sent once a second.
+# Seconds without a message after which a host is not chosen as the hub. Heartbeats are
+# sent once a second.
 LIVENESS_TIMEOUT = 1.6
 # Readers are replaced sooner, since changes of the store must be known within two
 # seconds and the next reader still has to fetch them.
 READER_TIMEOUT = 1.3
-# The hub is replaced if it sent nothing for this long (seconds). It sends at least
-# every 0.2 s.
+# Seconds without a message after which the hub is replaced. It sends at least every
+# 0.2 s.
 HUB_TIMEOUT = 0.5
 # The hub is replaced if an update takes longer than this (seconds) to come back in a
 # bundle, since all that it sends is then out of date.
@@ -39,11 +40,11 @@
 ECHO_TIMEOUT = 2.5
 # A replaced hub is not chosen again for this long (seconds), to prevent flapping.
 HUB_RETRY_DELAY = 5.0
-# Hosts of a data centre that follow the store. Two, so that changes are still received
-# until the loss of one is detected.
+# Number of hosts of a data centre that follow the store. Two, so that changes are still
+# received until the loss of one is detected.
 READER_COUNT = 2
-# Hosts of a data centre that poll an unavailable store at short intervals. Several, as
-# some of them may be unable to reach it.
+# Number of hosts of a data centre that poll an unavailable store at short intervals.
+# Several, as some of them may be unable to reach it.
 STORE_PROBER_COUNT = 4
 
 
@@ -63,12 +64,13 @@
     """
     What a host knows of another host of its data centre.
 
-    `link` is the bandwidth in bytes per second, 0 if unknown. Times are in seconds.
+    `link_rate` is the capacity of its network link in bytes per second, 0 if unknown.
+    Times are in seconds.
     """
 
-    heard_at: float
-    link: float = 0.0
-    contact: StoreStatus = StoreStatus.TOLD
+    last_message_at: float
+    link_rate: float = 0.0
+    store_status: StoreStatus = StoreStatus.TOLD
     avoided_until: float = 0.0
 
 
@@ -78,16 +80,17 @@
 
     Args:
       address: The host's own address.
-      link: Its bandwidth in bytes per second, or None if unknown.
+      link_rate: The capacity of its network link in bytes per second, or None if
+        unknown.
     """
 
-    def __init__(self, address, link):
+    def __init__(self, address, link_rate):
         self._address = address
-        self._link = link or 0.0
+        self._link_rate = link_rate or 0.0
         self._known = {}
         self._hub = None
-        self._hub_heard_at = 0.0
-        self._echoed_at = 0.0
+        self._last_hub_message_at = 0.0
+        self._last_echo_at = 0.0
 
     def __len__(self):
         return len(self._known)
@@ -99,21 +102,21 @@
     def live_addresses(self, now):
         """Return the addresses of the live hosts."""
         known = self._known.items()
-        return [a for a, host in known if now - host.heard_at < LIVENESS_TIMEOUT]
+        return [a for a, host in known if now - host.last_message_at < LIVENESS_TIMEOUT]
 
     def note_message(self, address, now):
         """Record a message of another host, received directly or through a hub."""
         known = self._known.get(address)
         if known is None:
             self._known[address] = PeerEntry(now)
-        elif now > known.heard_at:
-            known.heard_at = now
+        elif now > known.last_message_at:
+            known.last_message_at = now
 
-    def update(self, address, link, contact):
+    def update(self, address, link_rate, store_status):
         """Update what a known host reports of itself."""
         known = self._known[address]
-        known.link = link
-        known.contact = contact
+        known.link_rate = link_rate
+        known.store_status = store_status
 
     def add_candidate(self, address, now):
         """Add a host that another one named; it is evicted unless it sends soon."""
@@ -123,7 +126,7 @@
     def evict_silent(self, now):
         """Evict hosts that have stopped sending."""
         known = self._known.items()
-        self._known = {a: h for a, h in known if now - h.heard_at < PEER_TTL}
+        self._known = {a: h for a, h in known if now - h.last_message_at < PEER_TTL}
 
     # The hub.
 
@@ -135,33 +138,33 @@
     def note_hub_message(self, address, now):
         """Record a message that a host sent as a hub."""
         if address == self._hub:
-            self._hub_heard_at = now
+            self._last_hub_message_at = now
 
     def pick_hub(self, now):
         """
-        Choose the hub: the live host with the highest bandwidth, ties broken by a hash.
+        Choose the hub: the live host with the fastest link, ties broken by a hash.
 
         Args:
-          now: The current time, in seconds.
+          now: The current time in seconds.
         Returns:
           Whether the hub has changed.
         """
         if self._hub is not None:
             self._avoid_silent_hub(now)
-        links = {
-            address: self._known[address].link
+        link_rates = {
+            address: self._known[address].link_rate
             for address in self.live_addresses(now)
             if self._known[address].avoided_until <= now
         }
-        links[self._address] = self._link
-        best = min(links, key=lambda a: (-links[a], hub_order(a)))
-        picked = None if best == self._address else best
-        if picked == self._hub:
+        link_rates[self._address] = self._link_rate
+        best = min(link_rates, key=lambda a: (-link_rates[a], hub_order(a)))
+        hub = None if best == self._address else best
+        if hub == self._hub:
             return False
-        self._hub = picked
+        self._hub = hub
         # A new hub gets the full timeouts.
-        self._hub_heard_at = now
-        self._echoed_at = now
+        self._last_hub_message_at = now
+        self._last_echo_at = now
         return True
 
     def note_echo(self, sent_at, now):
@@ -170,15 +173,15 @@
 
         Args:
           sent_at: When this host sent the update, in seconds.
-          now: The current time, in seconds.
+          now: The current time in seconds.
         """
-        self._echoed_at = now
+        self._last_echo_at = now
         if now - sent_at > MAX_HUB_DELAY:
             self._avoid_hub(now)
 
     def _avoid_silent_hub(self, now):
-        is_silent = now - self._hub_heard_at > HUB_TIMEOUT
-        is_unechoed = now - self._echoed_at > ECHO_TIMEOUT
+        is_silent = now - self._last_hub_message_at > HUB_TIMEOUT
+        is_unechoed = now - self._last_echo_at > ECHO_TIMEOUT
         if is_silent or is_unechoed:
             self._avoid_hub(now)
 
@@ -189,18 +192,20 @@
 
     # The readers.
 
-    def is_reader(self, contact, now):
+    def is_reader(self, store_status, now):
         """
         Return whether this host should follow the store as a reader.
 
         Args:
-          contact: This host's own `StoreStatus`.
-          now: The current time, in seconds.
+          store_status: This host's own `StoreStatus`.
+          now: The current time in seconds.
         """
-        if contact is StoreStatus.AWAY:
+        if store_status is StoreStatus.AWAY:
             return False
         preceding = [
-            h for h in self._preceding_readers(now) if h.contact is not StoreStatus.AWAY
+            h
+            for h in self._preceding_readers(now)
+            if h.store_status is not StoreStatus.AWAY
         ]
         return len(preceding) < READER_COUNT
 
@@ -214,13 +219,13 @@
         return [
             host
             for address, host in self._known.items()
-            if now - host.heard_at < READER_TIMEOUT
+            if now - host.last_message_at < READER_TIMEOUT
             and _sort_key("reader", address) < own
         ]
 
 
 def hub_order(address):
-    """Return the sort key among hosts of equal bandwidth; the lowest is the hub."""
+    """Return the sort key among hosts with equal links; the lowest is the hub."""
     return _sort_key("hub", address)
 
 
