--- a/packages/plumsaddle-core/plumsaddle_core/ops/pacing.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/pacing.py
@@ -9,8 +9,8 @@
 some waiting, but a late failure costs requests.
 """
 
-# The share of the link's capacity that updates may use.
-LINK_SHARE = 0.15
+# The fraction of the link's capacity that updates may use.
+LINK_FRACTION = 0.15
 # Datagrams per second for load updates. Each costs processor time at both ends.
 MAX_DATAGRAM_RATE = 600.0
 # The same for urgent updates. Until one arrives, other hosts send to a failing target.
@@ -61,12 +61,13 @@
     The limits of the updates that a host sends: bytes, datagrams and urgent datagrams.
 
     Args:
-      link: The capacity of the host's link in bytes per second, or None if unknown.
+      link_rate: The capacity of the host's link in bytes per second, or None if
+        unknown.
       is_limited: Whether there are any limits.
     """
 
-    def __init__(self, link, is_limited=True):
-        self._bytes = OverdraftBucket(max_byte_rate(link) if is_limited else None)
+    def __init__(self, link_rate, is_limited=True):
+        self._bytes = OverdraftBucket(max_byte_rate(link_rate) if is_limited else None)
         self._deferrable = OverdraftBucket(MAX_DATAGRAM_RATE if is_limited else None)
         self._urgent = OverdraftBucket(MAX_URGENT_DATAGRAM_RATE if is_limited else None)
 
@@ -86,6 +87,6 @@
         return self._bytes.wait(False, now) <= 0.0
 
 
-def max_byte_rate(link):
-    """Return the bytes per second allowed for updates on a link of a capacity."""
-    return None if link is None else link * LINK_SHARE
+def max_byte_rate(link_rate):
+    """Return the bytes per second that updates may use of a link, if known."""
+    return None if link_rate is None else link_rate * LINK_FRACTION
--- a/packages/plumsaddle-core/plumsaddle_core/ops/pacing_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/pacing_test.py
@@ -8,7 +8,7 @@
 
 from .pacing import (
     BURST_SECONDS,
-    LINK_SHARE,
+    LINK_FRACTION,
     MAX_DATAGRAM_RATE,
     OVERDRAFT_SECONDS,
     OverdraftBucket,
@@ -48,9 +48,9 @@
 def test_updates_use_a_small_part_of_the_link(hosts):
     """Unlimited updates of 45 hosts would saturate a slow link and delay requests."""
     limited, oldest = _simulate(hosts, max_byte_rate(LINK))
-    assert limited <= LINK * LINK_SHARE * (1 + BURST_SECONDS)
+    assert limited <= LINK * LINK_FRACTION * (1 + BURST_SECONDS)
     # With a hundred hosts, updates are delayed by half a second at most.
-    assert oldest <= 1000 * MESSAGE * hosts / (LINK * LINK_SHARE) + 1
+    assert oldest <= 1000 * MESSAGE * hosts / (LINK * LINK_FRACTION) + 1
     unlimited, _ = _simulate(hosts, None, LONG_MESSAGE)
     assert unlimited > 3 * limited
     if hosts > 12:
