--- a/packages/plumsaddle-core/plumsaddle_core/ops/share.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/share.py
@@ -2,10 +2,10 @@
 A data centre's share of the retries that all hosts together may send.
 
 An installation limits the retries of a service in any window to a ratio of its requests
-plus a fixed extra. This keeps retries from doubling the load when a service fails as a
-whole. The hosts of a data centre exchange their counts of requests and retries and
-share one budget. The extra is split equally among data centres, and a host that hears
-only some of its peers uses only their part of it.
+plus a fixed allowance. This keeps retries from doubling the load when a service fails
+as a whole. The hosts of a data centre exchange their counts of requests and retries and
+share one budget. The allowance is split equally among data centres, and a host that
+receives messages of only some of its peers uses only their part of it.
 
 A shared budget does not waste the fractions that separate budgets of hosts with few
 requests would round off.
@@ -13,7 +13,7 @@
 
 from collections import deque
 
-# The share of the limit that is used. Arrivals at targets are counted a little later
+# The fraction of the limit that is used. Arrivals at targets are counted a little later
 # than sends, and hosts send retries without knowing of each other's latest ones.
 SAFETY_FACTOR = 0.8
 
@@ -41,20 +41,20 @@
         """Count retries that were sent."""
         self._retries.add(count, now)
 
-    def may_retry(self, extra, now, usable_share=1.0):
+    def may_retry(self, extra, now, usable_fraction=1.0):
         """
         Return whether a retry may be sent.
 
         Args:
-          extra: The data centre's part of the fixed extra.
+          extra: The data centre's part of the fixed allowance.
           now: The current time in seconds.
-          usable_share: The share of the budget that the request may use up.
+          usable_fraction: The fraction of the budget that the request may use up.
         """
         requests = self._requests.total(now - self.window)
         retries = self._retries.total(now - self.window)
         return (
             retries + 1
-            <= (self.ratio * requests + extra) * SAFETY_FACTOR * usable_share
+            <= (self.ratio * requests + extra) * SAFETY_FACTOR * usable_fraction
         )
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency.py
@@ -9,11 +9,11 @@
 
 from typing import NamedTuple
 
-# The share of the retries that the least urgent requests may use up.
-MIN_RETRY_SHARE = 0.7
-# The share of its remaining time that the least urgent request may be expected to take
-# at a target without free slots. If it would take longer, it is refused.
-MIN_WAIT_SHARE = 0.6
+# The fraction of the retries that the least urgent requests may use up.
+MIN_RETRY_FRACTION = 0.7
+# The fraction of its remaining time that the least urgent request may be expected to
+# take at a target without free slots. If it would take longer, it is refused.
+MIN_WAIT_FRACTION = 0.6
 
 
 class RequestPriority(NamedTuple):
@@ -75,10 +75,10 @@
 
 
 def usable_retry_fraction(urgency):
-    """Return the share of the retries that a request of an urgency may use up."""
-    return MIN_RETRY_SHARE + (1.0 - MIN_RETRY_SHARE) * urgency
+    """Return the fraction of the retries that a request of an urgency may use up."""
+    return MIN_RETRY_FRACTION + (1.0 - MIN_RETRY_FRACTION) * urgency
 
 
 def max_wait_fraction(urgency):
-    """Return the share of its remaining time that a request may spend at a target."""
-    return MIN_WAIT_SHARE + (1.0 - MIN_WAIT_SHARE) * urgency
+    """Return the fraction of its time left that a request may spend at a target."""
+    return MIN_WAIT_FRACTION + (1.0 - MIN_WAIT_FRACTION) * urgency
