--- a/packages/plumsaddle-core/plumsaddle_core/ops/elsewhere.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/elsewhere.py
@@ -9,7 +9,7 @@
 
 from .news import RemoteLoadTotal
 
-# Loads are discarded if they are not updated for this long (seconds).
+# Seconds without an update after which a load is discarded.
 REMOTE_LOAD_TTL = 1.5
 
 
@@ -27,7 +27,7 @@
 
         Args:
           load: The `RemoteLoad`.
-          now: The current time, in seconds.
+          now: The current time in seconds.
         """
         known, _ = self._loads.get(load.data_centre, (None, 0.0))
         is_same = known is not None and (known.host, known.incarnation) == (
@@ -60,10 +60,10 @@
         self._total = total
         self._total_at = now
 
-    def is_known(self, centre, now):
+    def is_known(self, data_centre, now):
         """Return whether a data centre's load is known and up to date."""
         return (
-            centre in self._total.data_centres
+            data_centre in self._total.data_centres
             and now - self._total_at < REMOTE_LOAD_TTL
         )
 
@@ -73,9 +73,11 @@
 
     def evict_silent(self, now):
         """Evict loads that are out of date."""
-        heard = self._loads.items()
+        entries = self._loads.items()
         self._loads = {
-            c: entry for c, entry in heard if now - entry[1] < REMOTE_LOAD_TTL
+            data_centre: entry
+            for data_centre, entry in entries
+            if now - entry[1] < REMOTE_LOAD_TTL
         }
         if now - self._total_at >= REMOTE_LOAD_TTL:
             self._total = RemoteLoadTotal((), {})
--- a/packages/plumsaddle-core/plumsaddle_core/ops/times.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/times.py
@@ -1,8 +1,8 @@
 """
-The typical duration of a route's requests, and the rates of stuck and rejected sends.
+The typical duration of a route's requests, and the rates of overdue and rejected sends.
 
 Routes of one service can differ a hundredfold, so durations are kept for each route of
-each service. With one median for all, requests of the slower routes would look stuck.
+each service. With one median for all, requests of the slower routes would look overdue.
 
 Durations exclude the wait for a slot. That wait is estimated for each target, and would
 otherwise be counted twice and make healthy targets look too slow.
@@ -17,19 +17,19 @@
 MIN_SAMPLES = 5
 # The least duration in seconds assumed for a route without enough samples.
 DEFAULT_DURATION = 0.3
-# Prior of the rates of stuck and rejected sends: one in ten.
+# Prior of the rates of overdue and rejected sends: one in ten.
 PRIOR_RARE_COUNT = 1.0
 PRIOR_SAMPLE_COUNT = 10.0
 
 
 class RouteTimes:
-    """Recent durations and stuck sends by route, and rejected sends by service."""
+    """Recent durations and overdue sends by route, and rejected sends by service."""
 
     def __init__(self):
         self._times = {}
         # Medians by service and route; None if they must be computed anew.
         self._medians = {}
-        self._stuck = {}
+        self._overdue = {}
         self._shed = {}
 
     def typical_duration(self, service, route):
@@ -38,7 +38,7 @@
 
         A route without enough samples is assumed to be like the slowest known route of
         its service, and to take at least `DEFAULT_DURATION`. A lower estimate would
-        make its first requests look stuck.
+        make its first requests look overdue.
         """
         medians = self._medians.get(service, {})
         if route in medians:
@@ -55,25 +55,25 @@
 
     def note_success(self, service, route, seconds):
         """Record the duration of a successful request."""
-        _note_rare_outcome(self._stuck, (service, route), False)
+        _note_rare_outcome(self._overdue, (service, route), False)
         _note_rare_outcome(self._shed, service, False)
         self.note_late(service, route, seconds)
 
     def note_late(self, service, route, seconds):
         """
-        Record the duration of a successful request that had been counted as stuck.
+        Record the duration of a successful request that had been counted as overdue.
 
         Without these samples, a median that is far too short would make all sends look
-        stuck and never recover.
+        overdue and never recover.
         """
         recent = self._times.setdefault((service, route), deque(maxlen=MAX_SAMPLES))
         recent.append(seconds)
         if len(recent) >= MIN_SAMPLES:
             self._medians.setdefault(service, {})[route] = None
 
-    def note_stuck(self, service, route):
-        """Record a stuck send, and return the share of stuck sends before it."""
-        return _note_rare_outcome(self._stuck, (service, route), True)
+    def note_overdue(self, service, route):
+        """Record an overdue send, and return the share of overdue sends before it."""
+        return _note_rare_outcome(self._overdue, (service, route), True)
 
     def note_shed(self, service):
         """Record a rejected send, and return the share of rejected sends before it."""
@@ -82,7 +82,7 @@
     def retain_routes(self, routes):
         """Forget all routes whose names are not given."""
         self._times = {k: v for k, v in self._times.items() if k[1] in routes}
-        self._stuck = {k: v for k, v in self._stuck.items() if k[1] in routes}
+        self._overdue = {k: v for k, v in self._overdue.items() if k[1] in routes}
         for service, medians in self._medians.items():
             kept = {route: m for route, m in medians.items() if route in routes}
             self._medians[service] = kept
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -45,15 +45,15 @@
 from .suspects import SuspectRequests
 from .times import RouteTimes
 
-# A host that sent nothing for this long (seconds) is evicted: three missed heartbeats.
+# Seconds without a message after which a host is evicted: three missed heartbeats.
 PEER_TIMEOUT = 3.5
-# A host that sent nothing for this long (seconds) counts as lost.
-MISSING_TIMEOUT = 1.6
+# Seconds without a message after which a host counts as lost.
+LOST_HOST_TIMEOUT = 1.6
 # A restarted host counts as lost for this long (seconds).
 HOST_LOSS_WINDOW = 5.0
 # Services count as degraded if at least this share of the hosts is lost, and at least
 # this many.
-LOST_HOST_RATIO = 0.15
+LOST_HOST_FRACTION = 0.15
 MIN_LOST_HOSTS = 2
 # Services count as degraded for this long (seconds) after the host's start.
 STARTUP_GRACE = 5.0
@@ -83,7 +83,7 @@
         self.number = -1
         self.in_flight = {}
         self.counts = None
-        self.heard_at = 0.0
+        self.last_message_at = 0.0
 
 
 class SharedState:
@@ -140,10 +140,10 @@
 
     def note_send_end(self, incarnation):
         """Record that one of this host's sends has ended."""
-        left = self._own_in_flight[incarnation] - 1
-        assert left >= 0, "a send ended twice"
-        if left:
-            self._own_in_flight[incarnation] = left
+        remaining = self._own_in_flight[incarnation] - 1
+        assert remaining >= 0, "a send ended twice"
+        if remaining:
+            self._own_in_flight[incarnation] = remaining
         else:
             del self._own_in_flight[incarnation]
 
@@ -152,12 +152,12 @@
         Record the outcome of one of this host's sends and queue it for other hosts.
 
         Args:
-          incarnation: The incarnation of the target.
+          incarnation: The target's incarnation.
           service: The target's service.
           route: The name of the request's route.
-          sign: The `HealthSignal`.
+          signal: The `HealthSignal`.
           seconds: How long the send took.
-          now: The current time, in seconds.
+          now: The current time in seconds.
         """
         number = self.outcomes.count
         outcome = OutcomeRecord(number, incarnation, service, route, signal, seconds)
@@ -187,7 +187,7 @@
         """Return this host's `Counts` by service since it started."""
         return dict(self._own_counts)
 
-    def may_retry(self, service, extra, now, urgent_part=1.0):
+    def may_retry(self, service, extra, now, usable_fraction=1.0):
         """
         Return whether the data centre's retry budget allows a retry to a service.
 
@@ -198,13 +198,15 @@
         Args:
           service: The service's name.
           extra: The data centre's part of the fixed allowance.
-          now: The current time, in seconds.
-          urgent_part: The part of the budget that the request may use up.
+          now: The current time in seconds.
+          usable_fraction: The fraction of the budget that the request may use up.
         """
-        part = self.live_host_count() / self._max_host_count
+        reachable_share = self.live_host_count() / self._max_host_count
         if now - self._started_at < self._retry_window:
-            part = 0.0
-        return self._retry_budget(service).may_retry(extra * part, now, urgent_part)
+            reachable_share = 0.0
+        return self._retry_budget(service).may_retry(
+            extra * reachable_share, now, usable_fraction
+        )
 
     def _retry_budget(self, service):
         budget = self._retry_budgets.get(service)
@@ -252,7 +254,7 @@
         if update.number <= peer.number:
             return False
         peer.number = update.number
-        peer.heard_at = now
+        peer.last_message_at = now
         self.limits.membership.note_message(update.host, now)
         self._replace_in_flight(peer, update.in_flight, now)
         self._max_host_count = max(self._max_host_count, self.live_host_count())
@@ -346,10 +348,12 @@
         while self._restarts and self._restarts[0] <= now - HOST_LOSS_WINDOW:
             self._restarts.popleft()
         missing = sum(
-            1 for peer in self._peers.values() if now - peer.heard_at > MISSING_TIMEOUT
+            1
+            for peer in self._peers.values()
+            if now - peer.last_message_at > LOST_HOST_TIMEOUT
         )
         lost = missing + len(self._restarts)
-        return lost >= max(MIN_LOST_HOSTS, LOST_HOST_RATIO * self._max_host_count)
+        return lost >= max(MIN_LOST_HOSTS, LOST_HOST_FRACTION * self._max_host_count)
 
     def last_used_at(self, incarnation):
         """Return when a host of any data centre last sent to a target."""
@@ -360,16 +364,16 @@
         silent = [
             host
             for host, peer in self._peers.items()
-            if now - peer.heard_at > PEER_TIMEOUT
+            if now - peer.last_message_at > PEER_TIMEOUT
         ]
         for host in silent:
             self._peers_in_flight.subtract(self._peers.pop(host).in_flight)
         self._peers_in_flight = +self._peers_in_flight
         self._remote_loads.evict_silent(now)
         self.limits.membership.evict(now)
-        heard = self._remote_inboxes.items()
+        inboxes = self._remote_inboxes.items()
         self._remote_inboxes = {
-            h: entry for h, entry in heard if now - entry[1] < REMOTE_HOST_TTL
+            h: entry for h, entry in inboxes if now - entry[1] < REMOTE_HOST_TTL
         }
         return silent
 
@@ -382,8 +386,8 @@
     def in_flight(self, incarnation):
         """Return the requests in flight at a target from all known hosts."""
         tag = target_tag(incarnation)
-        here = self._own_in_flight.get(incarnation, 0) + self._peers_in_flight[tag]
-        return here + self._remote_loads.in_flight(tag)
+        local = self._own_in_flight.get(incarnation, 0) + self._peers_in_flight[tag]
+        return local + self._remote_loads.in_flight(tag)
 
     def apply_remote_load(self, load, now):
         """Apply another data centre's `RemoteLoad` unless it is older."""
@@ -397,9 +401,9 @@
         """Apply the `RemoteLoadTotal` computed by the hub."""
         self._remote_loads.apply_total(total, now)
 
-    def knows_remote_load(self, centre, now):
+    def knows_remote_load(self, data_centre, now):
         """Return whether another data centre's load is known."""
-        return self._remote_loads.is_known(centre, now)
+        return self._remote_loads.is_known(data_centre, now)
 
     def local_load(self):
         """Return the requests in flight from this data centre by target tag."""
@@ -426,16 +430,16 @@
         """Return the probability that a target is in its failing state."""
         return self.target_estimators.get(incarnation, _PRIOR).failing_probability(now)
 
-    def evict_targets(self, known, now):
+    def evict_targets(self, listed, now):
         """Evict the state of incarnations that are no longer listed."""
         self.target_estimators = {
-            key: b for key, b in self.target_estimators.items() if key in known
+            key: b for key, b in self.target_estimators.items() if key in listed
         }
         self.path_estimators = {
-            key: b for key, b in self.path_estimators.items() if key in known
+            key: b for key, b in self.path_estimators.items() if key in listed
         }
-        self.limits.advertised.evict(known, now)
-        tags = {target_tag(key) for key in known}
+        self.limits.advertised.evict(listed, now)
+        tags = {target_tag(key) for key in listed}
         for tag in self._last_used_at.keys() - tags:
             del self._last_used_at[tag]
             self._local_last_used_at.pop(tag, None)
@@ -490,7 +494,7 @@
             return 1.0
         if outcome.signal is HealthSignal.OVERDUE:
             return rare_outcome_likelihood_ratio(
-                self.times.note_stuck(outcome.service, outcome.route)
+                self.times.note_overdue(outcome.service, outcome.route)
             )
         if outcome.signal is HealthSignal.FAILED:
             return FAILURE_LIKELIHOOD_RATIO
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
@@ -19,11 +19,11 @@
 def _update(
     number, outcomes=(), in_flight=None, counts=None, incarnation=1, host="peer"
 ):
-    notes = tuple(
-        OutcomeRecord(n, t, "look", "r", sign, 0.3) for n, t, sign in outcomes
+    records = tuple(
+        OutcomeRecord(n, t, "look", "r", signal, 0.3) for n, t, signal in outcomes
     )
     tags = {target_tag(target): count for target, count in (in_flight or {}).items()}
-    return PeerUpdate(host, incarnation, number, tags, notes, counts or {})
+    return PeerUpdate(host, incarnation, number, tags, records, counts or {})
 
 
 def test_an_outcome_counts_once():
@@ -194,32 +194,32 @@
     assert not share.may_retry(0.0, 10.5)
 
 
-def _candidate(name, fails, in_flight, is_near=True, slots=4):
+def _candidate(name, fails, in_flight, is_local=True, slots=4):
     target = Target(name, "look", "a", "x", slots, TargetState.READY, 0.0, 0.0)
-    return Candidate(target, fails, in_flight, False, is_near)
+    return Candidate(target, fails, in_flight, False, is_local)
 
 
-def _demand(kind=RequestKind.ORDER, kilobytes=1.0):
+def _profile(kind=RequestKind.ORDER, kilobytes=1.0):
     return RequestProfile(kind, 0.3, 1.2, 2.0, kilobytes)
 
 
-def _chosen(candidates, demand):
-    return choose_target(candidates, demand, random.Random(1)).candidate.target.id
+def _chosen(candidates, profile):
+    return choose_target(candidates, profile, random.Random(1)).candidate.target.id
 
 
 def test_a_target_that_fails_fast_is_not_preferred_to_a_busy_one():
     busy = _candidate("busy", 0.02, 4)
     failing = _candidate("failing", 0.69, 0)
-    assert _chosen([busy, failing], _demand()) == "busy"
+    assert _chosen([busy, failing], _profile()) == "busy"
 
 
-def test_large_bodies_stay_near_unless_they_would_be_lost():
-    near = _candidate("near", 0.3, 0)
-    away = _candidate("away", 0.02, 0, is_near=False)
-    assert _chosen([near, away], _demand(RequestKind.UPLOAD, 60.0)) == "near"
-    assert _chosen([near, away], _demand(RequestKind.ORDER, 1.0)) == "away"
-    lost = _candidate("near", 0.7, 0)
-    assert _chosen([lost, away], _demand(RequestKind.UPLOAD, 60.0)) == "away"
+def test_large_bodies_stay_local_unless_they_would_be_lost():
+    local = _candidate("local", 0.3, 0)
+    remote = _candidate("remote", 0.02, 0, is_local=False)
+    assert _chosen([local, remote], _profile(RequestKind.UPLOAD, 60.0)) == "local"
+    assert _chosen([local, remote], _profile(RequestKind.ORDER, 1.0)) == "remote"
+    lost = _candidate("local", 0.7, 0)
+    assert _chosen([lost, remote], _profile(RequestKind.UPLOAD, 60.0)) == "remote"
 
 
 def test_lost_hosts_degrade_services():
@@ -250,9 +250,9 @@
         at = number / 10
         cut.note_outcome("t", "look", "r", HealthSignal.UNREACHABLE, 0.3, at)
         is_cut = number % 5 == 0
-        sign = HealthSignal.UNREACHABLE if is_cut else HealthSignal.SUCCEEDED
+        signal = HealthSignal.UNREACHABLE if is_cut else HealthSignal.SUCCEEDED
         other.apply_update(
-            _update(number, [(number, "t", sign)], host=f"h{number % 5}"), at
+            _update(number, [(number, "t", signal)], host=f"h{number % 5}"), at
         )
     assert cut.failure_probability("t", 1.2) > 0.7
     assert cut.is_path_broken("t", 1.2)
