--- a/packages/plumsaddle-core/plumsaddle_core/ops/belief.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/belief.py
@@ -26,12 +26,13 @@
 # Stationary probability of the failing state, and the time constant of the decay to it.
 PRIOR_FAILING = MEAN_FAILING_SECONDS / (MEAN_HEALTHY_SECONDS + MEAN_FAILING_SECONDS)
 DECAY_SECONDS = 1.0 / (1.0 / MEAN_HEALTHY_SECONDS + 1.0 / MEAN_FAILING_SECONDS)
-# Share of the sends to a failing target that hang, or that it rejects with slots free.
+# Fraction of the sends to a failing target that hang, or that it rejects with slots
+# free.
 RARE_OUTCOME_RATE_FAILING = 0.5
 # Bound on what a timeout at one host, of a connection or a request, counts for the
 # target. A higher bound would let a broken path mark a target as failing for all hosts.
 MAX_SILENCE_LIKELIHOOD_RATIO = 4.0
-# For the path of the host whose connection attempt got no answer.
+# For the path of the host whose connection attempt got no response.
 UNREACHABLE_LIKELIHOOD_RATIO = 100.0
 SUCCESS_LIKELIHOOD_RATIO = (1.0 - FAILING_FAILURE_RATE) / (1.0 - HEALTHY_FAILURE_RATE)
 FAILURE_LIKELIHOOD_RATIO = FAILING_FAILURE_RATE / HEALTHY_FAILURE_RATE
@@ -42,7 +43,7 @@
 PATH_SUCCESS_LIKELIHOOD_RATIO = (1.0 - PATH_BROKEN_FAILURE_RATE) / (
     1.0 - PATH_HEALTHY_FAILURE_RATE
 )
-# Mean duration of a broken path, and the share of paths that are broken.
+# Mean duration of a broken path, and the fraction of paths that are broken.
 PATH_MEAN_BROKEN_SECONDS = 8.0
 PATH_PRIOR_BROKEN = 0.03
 
@@ -52,8 +53,8 @@
     Parameters of a two-state failure process.
 
     `prior` is the stationary probability of the failing state, `decay_seconds` the time
-    constant with which the estimate returns to it. The rates are the shares of requests
-    that fail in either state.
+    constant with which the estimate returns to it. The rates are the fractions of
+    requests that fail in either state.
     """
 
     prior: float
@@ -120,11 +121,11 @@
 
 def rare_outcome_likelihood_ratio(share):
     """
-    Return the likelihood ratio of a stuck send, or of a rejection with slots free.
+    Return the likelihood ratio of an overdue send, or of a rejection with slots free.
 
     The rarer such outcomes are among all sends, the more one tells of its target.
 
     Args:
-      share: The share of all comparable sends that end so.
+      share: The fraction of all comparable sends that end so.
     """
     return max(1.0, RARE_OUTCOME_RATE_FAILING / share)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/choice.py
@@ -1,11 +1,11 @@
 """
 Selection of the target for a send.
 
-Every usable target gets a score: the probability of a complete answer, times the value
-of an answer at the time it is expected, less the cost of leaving the data centre. A
-small utilization penalty spreads requests over targets that are otherwise equal and
-gives new targets work at once. Failures only lower a target's score; they never exclude
-it.
+Every usable target gets a score: the probability of a complete response, times the
+value of a response at the time it is expected, less the cost of leaving the data
+centre. A small utilization penalty spreads requests over targets that are otherwise
+equal and gives new targets work at once. Failures only lower a target's score; they
+never exclude it.
 
 A target that fails within a millisecond is never busy, so balancing by load alone would
 send it most of the requests. Here failures outweigh free slots.
@@ -16,7 +16,7 @@
 
 from ..core.traffic import RequestKind, Target
 
-# Penalties, bonuses and costs are relative to a complete answer in time, worth 1.
+# Penalties, bonuses and costs are relative to a complete response in time, worth 1.
 # Score lost by a target with all slots taken. It must outweigh the difference between a
 # target that just succeeded and an unknown one (about 0.08), so that both get requests.
 UTILIZATION_PENALTY = 0.2
@@ -32,15 +32,15 @@
 OPEN_CONNECTION_BONUS = 0.03
 # How many times longer a cold target takes than a warm one.
 COLD_SLOWDOWN = 2.0
-# Value that an answer loses between the safe share of the objective and the time limit.
+# Value that a response loses between the safe part of the objective and the time limit.
 LATE_PENALTY = 0.5
-# The share of the objective within which an answer has its full value. Durations vary:
-# an answer expected exactly at the objective is late about half of the time.
-SAFE_OBJECTIVE_SHARE = 0.6
+# The fraction of the objective within which a response has its full value. Durations
+# vary: a response expected exactly at the objective is late about half of the time.
+SAFE_OBJECTIVE_FRACTION = 0.6
 # Cost of sending to another data centre: a fixed part and a part for each kilobyte.
 # Large requests leave the data centre only if the local targets probably fail.
-CROSS_CENTRE_COST = 0.03
-CROSS_CENTRE_COST_PER_KB = 0.006
+CROSS_DATA_CENTRE_COST = 0.03
+CROSS_DATA_CENTRE_COST_PER_KB = 0.006
 # Utilization assumed for targets of a data centre whose load is unknown.
 UNKNOWN_LOAD_UTILIZATION = 0.5
 
@@ -77,7 +77,7 @@
 
     `typical_duration` is the usual duration of such a request on an idle target,
     without waiting. `objective_left` and `time_left` are what remains of its objective
-    and of its time limit. `kilobytes` is the size of the body and the usual answer.
+    and of its time limit. `kilobytes` is the size of the body and the usual response.
     """
 
     kind: RequestKind
@@ -137,7 +137,7 @@
 
 
 def score_candidate(candidate, profile, expected_duration):
-    """Return the score of a send; a certain answer in time is worth 1."""
+    """Return the score of a send; a certain response in time is worth 1."""
     fails = candidate.failure_probability
     cost = fails * (1.0 - RETRY_DISCOUNT) if profile.kind.is_idempotent else fails
     score = (1.0 - cost) * _timeliness(expected_duration, profile)
@@ -147,13 +147,15 @@
     if candidate.has_connection:
         score += OPEN_CONNECTION_BONUS
     if not candidate.is_local:
-        score -= CROSS_CENTRE_COST + CROSS_CENTRE_COST_PER_KB * profile.kilobytes
+        score -= (
+            CROSS_DATA_CENTRE_COST + CROSS_DATA_CENTRE_COST_PER_KB * profile.kilobytes
+        )
     return score
 
 
 def _utilization(candidate):
     """
-    Return the share of a target's slots that are taken, at most 1.
+    Return the fraction of a target's slots that are taken, at most 1.
 
     Requests beyond the slots are accounted for by the expected duration.
     """
@@ -163,10 +165,10 @@
 
 
 def _timeliness(expected_duration, profile):
-    """Return the value, from 0 to 1, of an answer expected after some seconds."""
+    """Return the value, from 0 to 1, of a response expected after some seconds."""
     if expected_duration >= profile.time_left:
         return 0.0
-    safe = SAFE_OBJECTIVE_SHARE * profile.objective_left
+    safe = SAFE_OBJECTIVE_FRACTION * profile.objective_left
     if expected_duration <= safe:
         return 1.0
     span = max(0.001, profile.time_left - safe)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/claims.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/claims.py
@@ -21,7 +21,7 @@
 
 
 class Replay(NamedTuple):
-    """The recorded answer to an order that was run."""
+    """The recorded response to an order that was run."""
 
     status: int
     content_type: str
@@ -199,7 +199,7 @@
         return []
 
     def finish(self, claim_id, status, content_type, body):
-        """Return the events to append for an answer of the target."""
+        """Return the events to append for a response of the target."""
         claim = self._finish(claim_id)
         return [Done(claim.key, claim_id, status, content_type, body)]
 
@@ -209,7 +209,7 @@
         return [Released(claim.key, claim.key_time, claim_id)]
 
     def finish_unknown(self, claim_id, detail):
-        """Return the events to append for an order whose answer was lost."""
+        """Return the events to append for an order whose response was lost."""
         claim = self._finish(claim_id)
         return [Unknown(claim.key, claim_id, detail)]
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
@@ -14,9 +14,9 @@
 
 from collections import deque
 
-# A service is degraded if more than this share of its requests in the window was not
+# A service is degraded if more than this fraction of its requests in the window was not
 # served. Trials must be unlimited before a tenth is lost.
-DEGRADED_SHARE = 0.085
+DEGRADED_FRACTION = 0.085
 DEGRADED_WINDOW = 2.5
 DEGRADED_MIN_REQUESTS = 8
 DEGRADED_MIN_UNSERVED = 2
@@ -56,7 +56,7 @@
             or self._unserved < DEGRADED_MIN_UNSERVED
         ):
             return False
-        return self._unserved > DEGRADED_SHARE * self._ended
+        return self._unserved > DEGRADED_FRACTION * self._ended
 
 
 class _TrialBudget:
@@ -84,11 +84,11 @@
 
     def find(self, service, list_targets, shared, floor_share, now):
         """
-        Return the target to which a request has to go as a trial, or None.
+        Return the incarnation to which a request has to go as a trial, or None.
 
         Args:
           service: The service's name.
-          list_targets: A function that returns the ids of the service's usable targets
+          list_targets: A function that returns the service's usable incarnations
             and the set of those that this host may try. Since it is slow with many
             targets, it is called only if a trial is due.
           shared: The `SharedState`.
@@ -115,17 +115,18 @@
     incarnations, eligible, failing_probability, last_used_at, floor_share, now
 ):
     """
-    Return the target to try so that enough of the healthy capacity is in use.
+    Return the incarnation to try so that enough of the healthy capacity is in use.
 
     Args:
-      incarnations: The usable targets of a service.
+      incarnations: The incarnations of a service's usable targets.
       eligible: Those that this host may try.
-      failing_probability: A function that returns a target's failing probability.
-      last_used_at: A function that returns when a target last got a request.
+      failing_probability: A function that returns the failing probability of
+        an incarnation.
+      last_used_at: A function that returns when an incarnation last got a request.
       floor_share: The configured share of the healthy capacity to keep in use.
       now: The current time in seconds.
     Returns:
-      An id, or None if no trial is needed or possible.
+      An incarnation, or None if no trial is needed or possible.
     """
     healthy = {
         incarnation: 1.0 - failing_probability(incarnation)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/latency.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/latency.py
@@ -1,10 +1,10 @@
 """
-Latency thresholds relative to a service's recent answers.
+Latency thresholds relative to a service's recent responses.
 
-The reference is the median latency of a service's recent answers, over all its targets
-and for each kind of request. It is robust while fewer than half of the answers come
-from slow targets, and follows a service that slows down as a whole, so that no single
-target is blamed for that.
+The reference is the median latency of a service's recent responses, over all its
+targets and for each kind of request. It is robust while fewer than half of the
+responses come from slow targets, and follows a service that slows down as a whole, so
+that no single target is blamed for that.
 """
 
 import statistics
@@ -27,7 +27,7 @@
         self._median = None
 
     def note_latency(self, seconds):
-        """Record the latency of one complete answer."""
+        """Record the latency of one complete response."""
         self._recent.append(seconds)
         self._samples_since_update += 1
         if self._samples_since_update >= SAMPLES_PER_UPDATE:
@@ -35,13 +35,13 @@
             self._median = statistics.median(self._recent)
 
     def slow_after(self):
-        """Return the seconds after which an answer is slow, or None if unknown."""
+        """Return the seconds after which a response is slow, or None if unknown."""
         if self._median is None:
             return None
         return SLOW_FACTOR * self._median + SLOW_MARGIN
 
     def overdue_after(self):
-        """Return the seconds after which a try counts as failed, or None if unknown."""
+        """Return the seconds after which a try is overdue, or None if unknown."""
         if self._median is None:
             return None
         return OVERDUE_FACTOR * self._median + SLOW_MARGIN
--- a/packages/plumsaddle-core/plumsaddle_core/ops/orders.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/orders.py
@@ -41,7 +41,7 @@
 
 
 class Done(NamedTuple):
-    """The target's answer to an order, without its body if that is not stored."""
+    """The target's response to an order, without its body if that is not stored."""
 
     key: OrderKey
     claim_id: ClaimId
--- a/packages/plumsaddle-core/plumsaddle_core/ops/registry.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/registry.py
@@ -13,13 +13,13 @@
 
 from ..core.traffic import TargetState
 
-# Lapsed entries stay usable for this long (seconds) after the store's recovery. Hosts
+# Seconds for which lapsed entries stay usable after the store's recovery. Hosts
 # notice a recovery up to a second late, and must not use a target that is still missing
 # three seconds after it.
 LAPSE_GRACE = 1.5
-# Removals of more than this share of the ready targets count as a lapse. Releases and
-# scaling remove fewer during a short disconnection.
-LAPSE_SHARE = 0.4
+# Removals of more than this fraction of the ready targets count as a lapse. Releases
+# and scaling remove fewer during a short disconnection.
+LAPSE_FRACTION = 0.4
 
 
 class Registry:
@@ -58,7 +58,7 @@
         Args:
           target: The `Target`.
           offset: The entry's offset in the log; older entries are ignored.
-          now: The current time, in seconds.
+          now: The current time in seconds.
         Returns:
           The target's previous entry if the target has restarted, else None.
         """
@@ -95,7 +95,7 @@
 
         Args:
           gone: A dictionary of target id to the offset of the removal.
-          now: The current time, in seconds.
+          now: The current time in seconds.
         """
         ids = [
             target_id
@@ -104,7 +104,7 @@
         ]
         ready = [t for t in self.targets.values() if t.state is TargetState.READY]
         end = self._recovered_at + LAPSE_GRACE
-        is_lapse = now < end and len(ids) > LAPSE_SHARE * len(ready)
+        is_lapse = now < end and len(ids) > LAPSE_FRACTION * len(ready)
         for target_id in ids:
             target = self.targets[target_id]
             if is_lapse and target.state is TargetState.READY:
--- a/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/subset.py
@@ -49,20 +49,20 @@
         return self.local[:count] + self.remote[: math.ceil(count * REMOTE_RATIO)]
 
 
-def order_targets(targets, host, centre):
+def order_targets(targets, host, data_centre):
     """
     Return the `OrderedTargets` of a service for a host.
 
     Args:
       targets: The usable `Target`s of one service.
       host: The host's id.
-      centre: The host's data centre.
+      data_centre: The host's data centre.
     """
     ordered = sorted(
         targets, key=lambda t: zlib.crc32(f"{host} {t.incarnation}".encode())
     )
-    local = [target for target in ordered if target.data_centre == centre]
-    remote = [target for target in ordered if target.data_centre != centre]
+    local = [target for target in ordered if target.data_centre == data_centre]
+    remote = [target for target in ordered if target.data_centre != data_centre]
     return OrderedTargets(local, remote)
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects.py
@@ -152,7 +152,7 @@
           key: The request's key.
           crashed: The incarnations that crashed under it.
           answered: The incarnations that answered it.
-          now: The present, in seconds.
+          now: The current time in seconds.
         """
         records = [RunRecord(key, incarnation, True) for incarnation in crashed]
         records += [RunRecord(key, incarnation, False) for incarnation in answered]
