--- a/packages/plumsaddle-core/plumsaddle_core/parser/text.py
+++ b/packages/plumsaddle-core/plumsaddle_core/parser/text.py
@@ -26,7 +26,7 @@
       checks: Functions that take the parsed tuple and yield a pair of path and message
         for each error.
     Returns:
-      A `Success` of the tuple, or a `Failure` of a list of `Error`.
+      A `Success` of the tuple, or a `Failure` of a list of `ParseError`.
     """
     try:
         raw = tomllib.loads(text)
