--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
@@ -114,6 +114,7 @@
         self._read_task = None
         self._behind_since = None
         self._has_reader_offset = False
+        # When a reader last reported that this host is up to date.
         self._reported_at = -math.inf
         self._wakeup = asyncio.Event()
         # Whether the current read was started as a reader, and whether it was cancelled
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored.py
@@ -102,21 +102,22 @@
         values = {
             key: msgspec.json.encode(
                 SuspectRecord(
-                    ended,
+                    crashed,
                     answered,
                     time.time() - at + self._suspects.last_crash_at(key),
                 )
             )
-            for key, (ended, answered) in unsaved.items()
+            for key, (crashed, answered) in unsaved.items()
         }
         result = await self._store.put(TOPIC, values)
         is_written = not isinstance(result, Failure)
         log.info(
-            "records written", extra={"keys": list(unsaved), "is_written": is_written}
+            "record write finished",
+            extra={"keys": list(unsaved), "is_written": is_written},
         )
         if not is_written:
             return
-        for key, (ended, answered) in unsaved.items():
+        for key, (crashed, answered) in unsaved.items():
             if key in self._suspects:
                 last_crash_at = self._suspects.last_crash_at(key)
-                self._suspects.add_stored(key, ended, answered, last_crash_at)
+                self._suspects.add_stored(key, crashed, answered, last_crash_at)
