--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -494,7 +494,8 @@
     assert sum(are_sending[:6]) == sum(are_sending[6:]) == 1
     for data_centre in (hosts[:6], hosts[6:]):
         assert (
-            sum(peers._reader_role.is_reader for peers, _, _ in data_centre) == READER_COUNT
+            sum(peers._reader_role.is_reader for peers, _, _ in data_centre)
+            == READER_COUNT
         )
 
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/strangers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/strangers.py
@@ -49,7 +49,7 @@
             for address in filter(is_address, addresses[data_centre]):
                 self.add(data_centre, address, now - PEER_TTL / 2)
 
-    def live(self, data_centre, now):
+    def addresses(self, data_centre, now):
         """Return the addresses of a data centre's hosts that have not expired."""
         heard_at = self._heard_at.get(data_centre, {})
         return [a for a, heard in heard_at.items() if now - heard < PEER_TTL]
@@ -58,7 +58,7 @@
         """Return a few addresses per data centre, drawn at random."""
         samples = {}
         for data_centre in self._heard_at:
-            live = self.live(data_centre, now)
+            live = self.addresses(data_centre, now)
             if live:
                 samples[data_centre] = self._rng.sample(
                     live, min(HOSTS_PER_MESSAGE, len(live))
@@ -68,5 +68,6 @@
     def needs_more(self, now):
         """Return whether too few live hosts of some data centre are known."""
         return any(
-            len(self.live(c, now)) < HOSTS_PER_MESSAGE for c in self._other_data_centres
+            len(self.addresses(c, now)) < HOSTS_PER_MESSAGE
+            for c in self._other_data_centres
         )
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -273,7 +273,7 @@
             known = self._peer_table.addresses()
             self._peer_table.add_candidate(address, at)
         else:
-            known = self._remote.remote_hosts.live(hello.data_centre, at)
+            known = self._remote.remote_hosts.addresses(hello.data_centre, at)
             self._remote.remote_hosts.add(hello.data_centre, address, at)
             own = [*self._peer_table.addresses(), self._settings.peer_address]
             remote_hosts[self._settings.data_centre] = own[-HOSTS_PER_MESSAGE:]
