--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -94,18 +94,24 @@
       ratio: Retries allowed per request.
       window: The length of the retry budget's sliding window, in seconds.
       started_at: When the host started, in seconds.
-      has_paths: Whether sends without a response are attributed to this host's own
+      has_path_evidence: Whether sends without a response are attributed to this host's own
         network path first.
       quotas: The `Quotas`, or None for no quotas.
       limits: The `TargetLimits`, or None for those of a single host.
     """
 
     def __init__(
-        self, ratio, window, started_at, has_paths=True, quotas=None, limits=None
+        self,
+        ratio,
+        window,
+        started_at,
+        has_path_evidence=True,
+        quotas=None,
+        limits=None,
     ):
         self.target_estimators = {}
         self.path_estimators = {}
-        self._has_paths = has_paths
+        self._has_path_evidence = has_path_evidence
         self.times = RouteTimes()
         self.suspects = SuspectRequests()
         self.quotas = Quotas() if quotas is None else quotas
@@ -459,7 +465,7 @@
         """
         ratio = self._likelihood_ratio(outcome)
         path_ratio = PATH_SUCCESS_LIKELIHOOD_RATIO
-        if outcome.signal in NO_RESPONSE_SIGNALS and self._has_paths:
+        if outcome.signal in NO_RESPONSE_SIGNALS and self._has_path_evidence:
             path_ratio = ratio
             ratio = min(MAX_SILENCE_LIKELIHOOD_RATIO, ratio)
         if ratio != 1.0:
@@ -477,7 +483,7 @@
         """Update the failure estimate of this host's path to a target."""
         path = self.path_estimators.get(incarnation)
         if path is None:
-            if ratio < 1.0 or not self._has_paths:
+            if ratio < 1.0 or not self._has_path_evidence:
                 return
             path = self.path_estimators[incarnation] = FailureEstimator(PATH_MODEL)
         path.update(ratio, now)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -99,7 +99,7 @@
             bounds.retry_ratio,
             bounds.retry_window,
             now(),
-            has_paths=Feature.PATH_EVIDENCE not in settings.disabled_features,
+            has_path_evidence=Feature.PATH_EVIDENCE not in settings.disabled_features,
             quotas=Quotas(
                 Tolerance(
                     bounds.quota_window, bounds.quota_overshoot, bounds.quota_slack
