--- a/packages/plumsaddle-core/plumsaddle_core/ops/news.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/news.py
@@ -145,25 +145,25 @@
     """
 
     def __init__(self):
-        self.count = 0
+        self.next_number = 0
         self._records = deque(maxlen=MAX_PENDING)
         self._sent_once = 0
         self._sent_twice = 0
 
     def add(self, record):
-        """Append a record, whose number must be `count`."""
+        """Append a record, whose number must be `next_number`."""
         self._records.append(record)
-        self.count += 1
+        self.next_number += 1
 
     @property
     def has_unsent(self):
         """Whether a record has not been sent yet."""
-        return self._sent_once < self.count
+        return self._sent_once < self.next_number
 
     def next_batch(self):
         """Return the records for the next message."""
         since = self._sent_twice
-        self._sent_twice, self._sent_once = self._sent_once, self.count
+        self._sent_twice, self._sent_once = self._sent_once, self.next_number
         return tuple(record for record in self._records if record.number >= since)
 
     def recent(self):
@@ -201,6 +201,6 @@
         Records from another data centre arrive through different hosts and thus out of
         order, so all recent numbers are compared and not only the highest.
         """
-        fresh = [record for record in records if record.number not in self._seen]
-        self._seen.extend(record.number for record in fresh)
-        return fresh
+        unseen = [record for record in records if record.number not in self._seen]
+        self._seen.extend(record.number for record in unseen)
+        return unseen
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone.py
@@ -94,8 +94,8 @@
       ratio: Retries allowed per request.
       window: The length of the retry budget's sliding window, in seconds.
       started_at: When the host started, in seconds.
-      has_path_evidence: Whether sends without a response are attributed to this host's own
-        network path first.
+      has_path_evidence: Whether sends without a response are attributed to this host's
+        own network path first.
       quotas: The `Quotas`, or None for no quotas.
       limits: The `TargetLimits`, or None for those of a single host.
     """
@@ -165,7 +165,7 @@
           seconds: How long the send took.
           now: The current time in seconds.
         """
-        number = self.outcomes.count
+        number = self.outcomes.next_number
         outcome = OutcomeRecord(number, incarnation, service, route, signal, seconds)
         self.outcomes.add(outcome)
         path_ratio = self._apply_outcome(outcome, now)
@@ -475,7 +475,7 @@
                 abs(self.failing_probability(outcome.target, now) - before)
                 >= MIN_SHIFT_TO_SHARE
             ):
-                number = self.evidence.count
+                number = self.evidence.next_number
                 self.evidence.add(Evidence(number, outcome.target, ratio))
         return path_ratio
 
