--- a/packages/plumsaddle-core/plumsaddle_core/limits/advertised_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/advertised_test.py
@@ -31,7 +31,7 @@
 
 
 def test_an_answer_to_an_earlier_request_does_not_loosen_a_limit():
-    """Guards against a late answer that removes a newer limit."""
+    """Guards against a late response that removes a newer limit."""
     limits = AdvertisedLimits()
     limits.observe("t", 1.0, sent_at=0.0, now=5.0)
     assert not limits.observe("t", None, sent_at=4.9, now=5.1)
--- a/packages/plumsaddle-core/plumsaddle_core/limits/membership.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/membership.py
@@ -50,13 +50,13 @@
     The hosts of the data centre that are known to one of them.
 
     Args:
-      own: The host's own id.
+      own_host: The host's own id.
       started_at: When it started, in seconds.
       has_seeds: Whether its settings name other hosts.
     """
 
-    def __init__(self, own, started_at, has_seeds=True):
-        self.own = own
+    def __init__(self, own_host, started_at, has_seeds=True):
+        self.own_host = own_host
         self._started_at = started_at
         self._has_seeds = has_seeds
         self._members = {}
@@ -116,7 +116,7 @@
 
     def demands(self, service, now):
         """Return the `HostDemand` of each host of the data centre for a service."""
-        demands = [HostDemand(self.own, _read(self._own_demand, service, now))]
+        demands = [HostDemand(self.own_host, _read(self._own_demand, service, now))]
         for host, member in self._members.items():
             # An unreachable host is assumed to have the same demand as before.
             as_of = member.last_message_at
--- a/packages/plumsaddle-core/plumsaddle_core/limits/shares.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/shares.py
@@ -42,23 +42,23 @@
     rate: float
 
 
-def compute_shares(targets, hosts, own):
+def compute_shares(targets, hosts, own_host):
     """
     Compute the shares of one host.
 
     Args:
       targets: The `LimitedTarget`s of a service in the host's data centre.
       hosts: The `HostDemand` of each host there, the host itself included.
-      own: The host's id.
+      own_host: The host's id.
     Returns:
       The requests per second that the host may send, by target incarnation. Targets in
       which it has no share are left out.
     """
     total = sum(target.rate for target in targets)
     weights = _select_hosts(hosts, total)
-    if own not in weights:
+    if own_host not in weights:
         return {}
-    start, end = _find_span(weights, own, total)
+    start, end = _find_span(weights, own_host, total)
     shares = {}
     position = 0.0
     for target in sorted(targets, key=lambda t: (_hash(t.incarnation), t.incarnation)):
@@ -86,15 +86,15 @@
     return -math.log((_hash(host) + 1) / (2**32 + 1)) / weight
 
 
-def _find_span(weights, own, total):
+def _find_span(weights, own_host, total):
     """Return the start and end of a host's interval."""
     scale = total / sum(weights.values())
     start = 0.0
     for host in sorted(weights, key=lambda h: (_hash(h), h)):
-        if host == own:
+        if host == own_host:
             break
         start += weights[host] * scale
-    return start, start + weights[own] * scale
+    return start, start + weights[own_host] * scale
 
 
 @functools.lru_cache(maxsize=65536)
--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets.py
@@ -148,7 +148,7 @@
             shares = {}
             if limited and may_send:
                 demands = self.membership.demands(name, now)
-                shares = compute_shares(limited, demands, self.membership.own)
+                shares = compute_shares(limited, demands, self.membership.own_host)
             service.buckets = _update_buckets(service.buckets, shares, now)
         return service
 
--- a/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/targets_test.py
@@ -18,9 +18,11 @@
 )
 
 
-def _target(number, centre="x"):
+def _target(number, data_centre="x"):
     state = TargetState.READY
-    return Target(f"t-{number}", "look", f"10.0.0.{number}:1", centre, 4, state, 0, 0)
+    return Target(
+        f"t-{number}", "look", f"10.0.0.{number}:1", data_centre, 4, state, 0, 0
+    )
 
 
 def _sole_host_limits():
@@ -61,7 +63,7 @@
 
 @pytest.mark.parametrize("rate", [0.0, 0.001])
 def test_a_target_with_a_near_zero_limit_is_sent_some_requests(rate):
-    """Guards against a target whose answers can never end its limit."""
+    """Guards against a target whose responses can never end its limit."""
     limits, targets = _sole_host_limits(), [_target(1)]
     _advertise(limits, rate, targets)
     sent = _send_all(limits, targets, 61.0, step_seconds=0.05)
