--- a/packages/plumsaddle-core/plumsaddle_core/core/parts.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/parts.py
@@ -25,7 +25,7 @@
     OPEN_CONNECTIONS = "open-connections"
     # Time spent waiting for a slot is excluded from service times.
     SERVICE_TIMES = "work-times"
-    # Requests that are suspected of crashing targets are held.
+    # Requests that are suspected of crashing targets are held back.
     SUSPECT_HOLDS = "holding-back"
     # The bytes and datagrams that a host sends to other hosts are limited.
     BANDWIDTH_LIMIT = "allowance"
--- a/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/floor.py
@@ -14,8 +14,9 @@
 
 from collections import deque
 
-# A service is degraded if more than this fraction of its requests in the window was not
-# served. Trials must be unlimited before a tenth is lost.
+# A service is degraded if more than this fraction of its requests was not served within
+# the window, in seconds, and at least the minimum numbers. Trials must be unlimited
+# before a tenth of the requests is lost.
 DEGRADED_FRACTION = 0.085
 DEGRADED_WINDOW = 2.5
 DEGRADED_MIN_REQUESTS = 8
@@ -23,7 +24,7 @@
 # Added to the configured floor share, since the healthy capacity is only an estimate.
 FLOOR_MARGIN = 0.15
 # Seconds without a request after which a target counts as unused.
-UNUSED_AFTER = 1.5
+UNUSED_TIMEOUT = 1.5
 # Targets whose failing probability is higher get no trials.
 TRIAL_MAX_FAILING_PROBABILITY = 0.6
 # Trials that each request of a host allows for while the service is not degraded.
@@ -132,7 +133,7 @@
         incarnation: 1.0 - failing_probability(incarnation)
         for incarnation in incarnations
     }
-    unused = [t for t in incarnations if now - last_used_at(t) > UNUSED_AFTER]
+    unused = [t for t in incarnations if now - last_used_at(t) > UNUSED_TIMEOUT]
     capacity = sum(healthy.values())
     in_use = capacity - sum(healthy[t] for t in unused)
     if not unused or in_use >= (floor_share + FLOOR_MARGIN) * capacity:
--- a/packages/plumsaddle-core/plumsaddle_core/ops/floor_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/floor_test.py
@@ -5,7 +5,7 @@
 from .floor import (
     DEGRADED_WINDOW,
     TRIALS_PER_REQUEST,
-    UNUSED_AFTER,
+    UNUSED_TIMEOUT,
     RecentResults,
     Trials,
     find_trial,
@@ -40,7 +40,7 @@
 def test_a_target_counts_as_unused_after_the_timeout():
     used = {"a": 10.0}
     failing = {"a": 0.2}
-    before, after = 9.9 + UNUSED_AFTER, 10.1 + UNUSED_AFTER
+    before, after = 9.9 + UNUSED_TIMEOUT, 10.1 + UNUSED_TIMEOUT
     assert find_trial(["a"], {"a"}, failing.get, used.get, 0.7, before) is None
     assert find_trial(["a"], {"a"}, failing.get, used.get, 0.7, after) == "a"
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/latency.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/latency.py
@@ -13,9 +13,11 @@
 MAX_SAMPLES = 64
 SAMPLES_PER_UPDATE = 8
 MIN_SAMPLES = 20
+# Multiples of the median from which a response is slow, and an attempt overdue.
 SLOW_FACTOR = 3.5
 OVERDUE_FACTOR = 12.0
-SLOW_MARGIN = 0.02
+# Added to both thresholds, so that a median of a few milliseconds leaves some room.
+MARGIN_SECONDS = 0.02
 
 
 class Latency:
@@ -38,10 +40,10 @@
         """Return the seconds after which a response is slow, or None if unknown."""
         if self._median is None:
             return None
-        return SLOW_FACTOR * self._median + SLOW_MARGIN
+        return SLOW_FACTOR * self._median + MARGIN_SECONDS
 
     def overdue_after(self):
-        """Return the seconds after which a try is overdue, or None if unknown."""
+        """Return the seconds after which an attempt is overdue, or None if unknown."""
         if self._median is None:
             return None
-        return OVERDUE_FACTOR * self._median + SLOW_MARGIN
+        return OVERDUE_FACTOR * self._median + MARGIN_SECONDS
--- a/packages/plumsaddle-core/plumsaddle_core/ops/registry.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/registry.py
@@ -89,17 +89,17 @@
         """Return the incarnations of all listed targets."""
         return {target.incarnation for target in self.targets.values()}
 
-    def drop(self, gone, now):
+    def drop(self, removed, now):
         """
         Remove targets whose entries were removed in one batch.
 
         Args:
-          gone: A dictionary of target id to the offset of the removal.
+          removed: A dictionary of target id to the offset of the removal.
           now: The current time in seconds.
         """
         ids = [
             target_id
-            for target_id, offset in gone.items()
+            for target_id, offset in removed.items()
             if not self._is_old(target_id, offset) and target_id in self.targets
         ]
         ready = [t for t in self.targets.values() if t.state is TargetState.READY]
