--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
@@ -16,30 +16,30 @@
 
 
 def _fleet(links=None):
-    """Return the tables of hosts that all hear each other, by address."""
+    """Return the tables of hosts that all receive each other's messages, by address."""
     links = links or {}
     tables = {name: PeerTable(name, links.get(name)) for name in NAMES}
-    _hear(tables, NAMES, 0.0, links)
+    _note_messages(tables, NAMES, 0.0, links)
     return tables
 
 
-def _hear(tables, heard, at, links=None):
+def _note_messages(tables, senders, at, links=None):
     for own, table in tables.items():
-        for name in heard:
+        for name in senders:
             if name != own:
                 table.note_message(name, at)
                 table.update(name, (links or {}).get(name, 0.0), StoreStatus.TOLD)
 
 
-def test_hosts_that_hear_the_same_pick_the_same():
+def test_hosts_with_the_same_view_choose_the_same():
     tables = _fleet({NAMES[7]: 25e6})
     for table in tables.values():
         table.pick_hub(0.1)
     assert {table.hub or name for name, table in tables.items()} == {NAMES[7]}
     readers = [n for n, t in tables.items() if t.is_reader(StoreStatus.TOLD, 0.1)]
     assert len(readers) == READER_COUNT
-    askers = [n for n, t in tables.items() if t.is_store_prober(0.1)]
-    assert len(askers) == STORE_PROBER_COUNT
+    probers = [n for n, t in tables.items() if t.is_store_prober(0.1)]
+    assert len(probers) == STORE_PROBER_COUNT
 
 
 def test_a_reader_that_lost_the_store_is_replaced_by_the_next():
@@ -52,8 +52,8 @@
         for own, table in tables.items():
             if own != name:
                 table.update(name, 0.0, StoreStatus.AWAY)
-    contacts = {n: StoreStatus.AWAY if n in lost else StoreStatus.TOLD for n in NAMES}
-    readers = [n for n, t in tables.items() if t.is_reader(contacts[n], 0.1)]
+    statuses = {n: StoreStatus.AWAY if n in lost else StoreStatus.TOLD for n in NAMES}
+    readers = [n for n, t in tables.items() if t.is_reader(statuses[n], 0.1)]
     assert len(readers) == READER_COUNT
     assert not set(readers) & set(lost)
 
@@ -65,7 +65,7 @@
     tables = _fleet()
     lost = [n for n, t in tables.items() if t.is_reader(StoreStatus.TOLD, 0.1)]
     at = READER_TIMEOUT
-    _hear(tables, set(NAMES) - set(lost), at)
+    _note_messages(tables, set(NAMES) - set(lost), at)
     readers = [
         n
         for n, t in tables.items()
@@ -93,18 +93,18 @@
     hub = table.hub
     assert hub is not None
     left_at = HUB_TIMEOUT + 0.01
-    _hear({own: table}, NAMES, left_at)
+    _note_messages({own: table}, NAMES, left_at)
     assert table.pick_hub(left_at)
     assert table.hub != hub
     second = table.hub
     for step in range(40):
         at = left_at + step * 0.1
-        _hear({own: table}, NAMES, at)
+        _note_messages({own: table}, NAMES, at)
         table.note_hub_message(second, at)
         table.note_echo(at, at)
         assert not table.pick_hub(at)
     at = left_at + HUB_RETRY_DELAY
-    _hear({own: table}, NAMES, at)
+    _note_messages({own: table}, NAMES, at)
     table.note_hub_message(second, at)
     table.note_echo(at, at)
     assert table.pick_hub(at)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/registry_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/registry_test.py
@@ -35,7 +35,7 @@
     assert _ids(registry) == {"t1"}
 
 
-def test_few_missing_entries_are_gone_at_once():
+def test_few_missing_entries_are_removed_at_once():
     """
     Guards against taking a target that has left for a lapsed entry after a partition.
     """
@@ -46,7 +46,7 @@
     assert _ids(registry) == {f"t{n}" for n in range(5)}
 
 
-def test_entries_are_dropped_at_once_while_the_store_is_well():
+def test_entries_are_dropped_at_once_while_the_store_is_available():
     registry = _filled(2)
     registry.drop({"t0": 5, "t1": 6}, 50.0)
     assert not _ids(registry)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/subset_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/subset_test.py
@@ -20,8 +20,8 @@
 
 
 def _target(number):
-    centre = CENTRES[number % 3]
-    return Target(f"t{number}", "act", "a", centre, 2, TargetState.READY, 0.0, 0.0)
+    data_centre = CENTRES[number % 3]
+    return Target(f"t{number}", "act", "a", data_centre, 2, TargetState.READY, 0.0, 0.0)
 
 
 TARGETS = [_target(number) for number in range(240)]
@@ -32,8 +32,8 @@
     used = Counter()
     count = subset_size(80, len(HOSTS), 0.5)
     for host in HOSTS:
-        for centre in CENTRES:
-            ordered = order_targets(TARGETS, f"{centre}-{host}", centre)
+        for data_centre in CENTRES:
+            ordered = order_targets(TARGETS, f"{data_centre}-{host}", data_centre)
             subset = ordered.subset(count)
             assert len(subset) <= 1.5 * count + 1
             used.update(target.id for target in subset)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/workspaces_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/workspaces_test.py
@@ -15,7 +15,7 @@
     assert index_keys([one, two]) == ({A: one, B: one, C: two}, set())
 
 
-def test_a_key_of_two_workspaces_opens_neither():
+def test_a_key_of_two_workspaces_is_valid_for_neither():
     """
     Guards against access to another workspace by a key published for both.
     """
@@ -25,7 +25,7 @@
     assert shared == {A}
 
 
-def test_a_key_that_stands_twice_in_one_workspace_is_its_own():
+def test_a_key_listed_twice_by_one_workspace_is_valid():
     one = Workspace("one", (A, A))
     assert index_keys([one]) == ({A: one}, set())
 
@@ -46,11 +46,11 @@
         ([b"Bearer abc", b"Bearer abc"], None),
     ],
 )
-def test_only_one_key_in_the_one_scheme_counts(values, key):
+def test_only_a_single_bearer_key_is_read(values, key):
     headers = [(b"Host", b"x"), *((b"aUthorization", value) for value in values)]
     assert read_key(headers) == key
 
 
-def test_a_shown_key_tells_nothing_of_it():
+def test_a_short_digest_does_not_reveal_the_key():
     assert short_digest(key_digest(b"secret")) == key_digest(b"secret").hex()[:8]
     assert len(short_digest(A)) == 8
--- a/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/zone_test.py
@@ -80,9 +80,9 @@
         shared.note_outcome(
             f"u{number}", "look", "short", HealthSignal.SUCCEEDED, 0.3, 1.0
         )
-    before = shared.failure_probability("sound", 1.0)
-    shared.note_outcome("sound", "look", "long", HealthSignal.OVERDUE, 0.0, 1.0)
-    assert shared.failure_probability("sound", 1.0) < before + 0.05
+    before = shared.failure_probability("healthy", 1.0)
+    shared.note_outcome("healthy", "look", "long", HealthSignal.OVERDUE, 0.0, 1.0)
+    assert shared.failure_probability("healthy", 1.0) < before + 0.05
     shared.note_outcome("hangs", "look", "short", HealthSignal.OVERDUE, 0.0, 1.0)
     assert shared.failure_probability("hangs", 1.0) > 0.5
 
@@ -102,7 +102,7 @@
     assert shared.times.typical_duration("look", "new") == 0.4
 
 
-def test_a_new_route_is_taken_for_ordinary_work():
+def test_a_new_route_is_assumed_to_take_the_default_duration():
     """
     Guards against judging a new route by the only known one, which takes milliseconds.
     """
@@ -112,7 +112,7 @@
     assert shared.times.typical_duration("look", "new") == DEFAULT_DURATION
 
 
-def test_a_median_that_is_too_short_is_unlearned():
+def test_a_median_that_is_too_short_is_corrected():
     """
     Guards against a median that stays too short after fast first responses.
     """
@@ -125,7 +125,7 @@
     assert shared.times.typical_duration("look", "r") == 0.4
 
 
-def test_a_target_that_sheds_alone_is_suspected():
+def test_a_target_that_alone_rejects_requests_is_taken_to_fail():
     """
     Guards against preferring a target that rejects everything and is thus never busy.
     """
@@ -178,7 +178,7 @@
     assert shared.may_retry("look", 50.0, 70.0)
 
 
-def test_a_host_that_hears_few_others_gets_a_small_allowance():
+def test_a_host_with_few_live_peers_gets_a_small_allowance():
     shared = _shared()
     for number in range(11):
         shared.apply_update(_update(1, host=f"h{number}"), 1.0)
@@ -187,11 +187,11 @@
     assert not shared.may_retry("look", 12.0, 1.0)
 
 
-def test_a_share_forgets_what_is_older_than_its_window():
-    share = DataCentreRetryBudget(0.5, 10.0)
-    share.note_requests(10, 0.0)
-    assert share.may_retry(0.0, 1.0)
-    assert not share.may_retry(0.0, 10.5)
+def test_a_retry_budget_drops_counts_older_than_its_window():
+    budget = DataCentreRetryBudget(0.5, 10.0)
+    budget.note_requests(10, 0.0)
+    assert budget.may_retry(0.0, 1.0)
+    assert not budget.may_retry(0.0, 10.5)
 
 
 def _candidate(name, fails, in_flight, is_local=True, slots=4):
@@ -241,7 +241,7 @@
     assert shared.is_degraded("look", 17.0)
 
 
-def test_a_target_that_one_host_cannot_reach_is_sound_for_the_others():
+def test_a_target_that_one_host_cannot_reach_is_healthy_for_the_others():
     """
     Guards against all hosts avoiding targets that only a fifth of them can't reach.
     """
