--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
@@ -112,7 +112,7 @@
             f"score {score.total:.1f}, own {score.own:.1f}, {score.observers} observers"
         )
         changes.append(_eject(pool.members[key], now, rng, reason))
-        evidence.clear(key)
+        evidence.reset_sums(key)
     return changes
 
 
@@ -125,7 +125,7 @@
     member.ejections += 1
     member.set_health(HealthState.EJECTED, now, reason)
     member.ejected_until = now + pause * rng.uniform(1.0, 1.5)
-    member.trials = 0
+    member.passed_trials = 0
     return HealthChange(member.target.key, old, member.health, reason)
 
 
@@ -148,11 +148,11 @@
             member.since = view.last_bad_at
         if now < member.ejected_until:
             return []
-        member.trials = 0
-        evidence.clear(member.target.key)
+        member.passed_trials = 0
+        evidence.reset_sums(member.target.key)
         member.set_health(HealthState.TRIAL, now, "the back-off has ended")
-    elif old is HealthState.TRIAL and member.trials >= TRIALS_NEEDED:
-        evidence.clear(member.target.key)
+    elif old is HealthState.TRIAL and member.passed_trials >= TRIALS_NEEDED:
+        evidence.reset_sums(member.target.key)
         member.set_health(
             HealthState.SLOW_START, now, f"{TRIALS_NEEDED} successful trials"
         )
@@ -178,7 +178,7 @@
     if member.health is not HealthState.TRIAL:
         return []
     if is_good:
-        member.trials += 1
+        member.passed_trials += 1
         return []
     return [_eject(member, now, rng, "a trial failed")]
 
@@ -207,7 +207,7 @@
     while ejected and count_active(pool) < effective_floor(pool):
         member = ejected.pop()
         old = member.health
-        evidence.clear(member.target.key)
+        evidence.reset_sums(member.target.key)
         member.set_health(HealthState.SLOW_START, now, "readmitted to meet the floor")
         changes.append(
             HealthChange(member.target.key, old, member.health, member.reason)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
@@ -1,9 +1,4 @@
-"""
-Ejection, floor, return and evidence.
-
-The naive version, five failures in a row without a floor, stands beside them in the
-event model of the stand-ins, whose tests compare the two.
-"""
+"""Tests of the ejection and readmission of targets, the floor and the evidence."""
 
 import random
 
@@ -32,12 +27,12 @@
 from .pool import Pool
 
 OWN = "me@1"
-CENTRES = {"me": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"}
+DATA_CENTRES = {"me": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"}
 HOSTS = ["b1@1", "b2@1", "c1@1", "c2@1"]
 
 
-def centre_of(incarnation):
-    return CENTRES.get(incarnation.partition("@")[0], "")
+def data_centre_of(incarnation):
+    return DATA_CENTRES.get(incarnation.partition("@")[0], "")
 
 
 def make_service(targets=4, floor=2, **changes):
@@ -46,32 +41,32 @@
 
 
 class Bench:
-    """A pool with its evidence, as one host has them."""
+    """A pool and its evidence, as on one host."""
 
     def __init__(self, weighing=DetectionTradeoff.DETECTION_TIME, **changes):
         self.service = make_service(weighing=weighing, **changes)
         self.pool = Pool(self.service, 4)
-        self.evidence = Evidence(OWN, weighing, centre_of)
+        self.evidence = Evidence(OWN, weighing, data_centre_of)
         self.rng = random.Random(1)
         self.keys = list(self.pool.members)
         self.counts = {}
 
-    def tell(self, reporter, key, now, good=0, failed=0):
+    def report(self, reporter, key, now, good=0, failed=0):
         old = self.counts.get((reporter, key), (0, 0))
         new = self.counts[reporter, key] = (old[0] + good, old[1] + failed)
         return self.evidence.merge([Row(reporter, key, new[0], 0, new[1])], now)
 
-    def fail_everywhere(self, key, now, count=4):
+    def fail_for_all_hosts(self, key, now, count=4):
         for _ in range(count):
             for reporter in HOSTS:
-                self.tell(reporter, key, now, failed=1)
+                self.report(reporter, key, now, failed=1)
 
-    def work_well(self, now, count=20):
+    def succeed_for_all_hosts(self, now, count=20):
         for _ in range(count):
             for key in self.keys:
                 self.evidence.note_signal(key, HealthSignal.GOOD, now)
                 for reporter in HOSTS:
-                    self.tell(reporter, key, now, good=1)
+                    self.report(reporter, key, now, good=1)
 
     def review(self, now, is_dependency_failing=False, is_suspect_itself=False):
         return update_health(
@@ -83,14 +78,14 @@
             is_suspect_itself,
         )
 
-    def standing(self, number):
+    def health(self, number):
         return self.pool.members[self.keys[number]].health
 
 
 def test_target_that_fails_for_several_hosts_is_ejected():
     bench = Bench()
-    bench.work_well(1.0)
-    bench.fail_everywhere(bench.keys[0], 2.0)
+    bench.succeed_for_all_hosts(1.0)
+    bench.fail_for_all_hosts(bench.keys[0], 2.0)
     assert bench.review(2.1) == []
     changes = bench.review(3.2)
     assert [(c.target, c.new) for c in changes] == [
@@ -98,55 +93,45 @@
     ]
 
 
-def test_one_host_cannot_convict_a_target_that_others_use():
-    """
-    A host with a bad network card takes healthy targets from everybody.
-    """
+def test_one_host_cannot_eject_a_target_that_others_use():
+    """Guards against ejections caused by a host with a faulty network card."""
     bench = Bench()
-    bench.work_well(1.0)
+    bench.succeed_for_all_hosts(1.0)
     for _ in range(50):
-        bench.tell("b1@1", bench.keys[0], 2.0, failed=1)
+        bench.report("b1@1", bench.keys[0], 2.0, failed=1)
     assert bench.review(2.1) == []
 
 
-def test_last_host_of_a_fleet_ejects_on_its_own_word():
-    """
-    A target that fails for everybody stays in, since two of three hosts were killed.
-
-    What they told is still there, but they can't confirm anything any more.
-    """
+def test_last_live_host_of_a_fleet_ejects_on_its_own():
+    """Guards against crashed hosts whose missing reports keep a failing target in use."""
     bench = Bench()
-    bench.work_well(1.0)
-    bench.tell("b1@1", bench.keys[0], 2.0, failed=1)
+    bench.succeed_for_all_hosts(1.0)
+    bench.report("b1@1", bench.keys[0], 2.0, failed=1)
     for step in range(4):
         bench.evidence.note_signal(bench.keys[0], HealthSignal.FAILED, 20.0 + step)
     bench.review(24.0)
     bench.review(25.1)
-    assert bench.standing(0) is HealthState.EJECTED
+    assert bench.health(0) is HealthState.EJECTED
 
 
-def test_one_data_centre_cannot_convict_a_target_that_others_use():
-    """
-    A data centre is cut off from a target, and all hosts in it accuse the target.
-    """
+def test_one_data_centre_cannot_eject_a_target_that_others_use():
+    """Guards against ejections caused by a data centre that is cut off."""
     bench = Bench()
-    bench.work_well(1.0)
+    bench.succeed_for_all_hosts(1.0)
     for _ in range(50):
         for reporter in ("b1@1", "b2@1"):
-            bench.tell(reporter, bench.keys[0], 2.0, failed=1)
+            bench.report(reporter, bench.keys[0], 2.0, failed=1)
     assert bench.review(2.1) == []
 
 
 def test_target_that_only_this_host_cannot_reach_is_used_last():
-    """
-    A one-way cut between this host and a target: others reach it, it is healthy.
-    """
+    """Guards against requests to a target to which this host's path is broken."""
     bench = Bench()
-    bench.work_well(1.0)
+    bench.succeed_for_all_hosts(1.0)
     for _ in range(4):
         bench.evidence.note_signal(bench.keys[0], HealthSignal.FAILED, 2.0)
         for reporter in HOSTS:
-            bench.tell(reporter, bench.keys[0], 2.0, good=5)
+            bench.report(reporter, bench.keys[0], 2.0, good=5)
     assert bench.review(2.1) == []
     member = bench.pool.members[bench.keys[0]]
     assert (member.health, member.is_avoided) == (HealthState.HEALTHY, True)
@@ -157,41 +142,35 @@
     assert not member.is_avoided
 
 
-def test_host_that_finds_most_targets_bad_suspects_itself():
+def test_host_that_alone_sees_most_targets_fail_suspects_itself():
     bench = Bench()
-    bench.work_well(1.0)
+    bench.succeed_for_all_hosts(1.0)
     for key in bench.keys:
         for _ in range(4):
             bench.evidence.note_signal(key, HealthSignal.FAILED, 2.0)
         for reporter in HOSTS:
-            bench.tell(reporter, key, 2.0, good=5)
+            bench.report(reporter, key, 2.0, good=5)
     assert suspects_itself([(bench.pool, bench.evidence)], 2.1)
     assert bench.review(2.1, is_suspect_itself=True) == []
 
 
-def test_targets_that_fail_alike_are_not_ejected():
-    """
-    What a service depends on fails, and with it all of the service's targets.
-
-    Taking them out would not help, and putting them back would take long.
-    """
+def test_targets_with_a_common_failure_are_not_ejected():
+    """Guards against the ejection of healthy targets when a dependency fails."""
     bench = Bench(floor=1)
-    bench.work_well(1.0)
+    bench.succeed_for_all_hosts(1.0)
     for step in range(30):
         for key in bench.keys:
             for reporter in HOSTS:
-                bench.tell(reporter, key, 2.0 + step, failed=1)
+                bench.report(reporter, key, 2.0 + step, failed=1)
         assert bench.review(2.1 + step) == []
     assert bench.pool.has_common_failure
 
 
 def test_nothing_is_ejected_while_a_dependency_fails():
-    """
-    A service's targets fail one after the other, since what they need has failed.
-    """
+    """Guards against ejections while a failing dependency breaks single targets."""
     bench = Bench(floor=1)
-    bench.work_well(1.0)
-    bench.fail_everywhere(bench.keys[0], 2.0)
+    bench.succeed_for_all_hosts(1.0)
+    bench.fail_for_all_hosts(bench.keys[0], 2.0)
     for now in (2.1, 3.2):
         assert bench.review(now, is_dependency_failing=True) == []
     assert bench.pool.has_common_failure
@@ -199,9 +178,9 @@
     assert [c.new for c in bench.review(5.4)] == [HealthState.EJECTED]
 
 
-def test_late_and_doubled_rows_change_nothing():
+def test_late_and_duplicate_rows_are_ignored():
     bench = Bench()
-    bench.work_well(1.0)
+    bench.succeed_for_all_hosts(1.0)
     key = bench.keys[0]
     rows = [Row("b1@1", key, 20, 0, n) for n in (3, 1, 2, 3, 3)]
     bench.evidence.merge(rows[:1], 2.0)
@@ -210,17 +189,17 @@
     assert bench.evidence.score(key, 2.0) == before
 
 
-def test_flapping_target_comes_back_ever_later():
+def test_backoff_of_a_flapping_target_grows():
     bench = Bench()
-    now, pauses = 0.0, []
+    now, backoffs = 0.0, []
     for _ in range(4):
-        bench.work_well(now)
-        bench.fail_everywhere(bench.keys[0], now + 1)
+        bench.succeed_for_all_hosts(now)
+        bench.fail_for_all_hosts(bench.keys[0], now + 1)
         bench.review(now + 1.1)
         bench.review(now + 2.2)
         member = bench.pool.members[bench.keys[0]]
         assert member.health is HealthState.EJECTED
-        pauses.append(member.ejected_until - member.since)
+        backoffs.append(member.ejected_until - member.since)
         now = member.ejected_until + 0.1
         bench.review(now)
         assert member.health is HealthState.TRIAL
@@ -230,8 +209,8 @@
         bench.review(now + 10.1)
         assert member.health is HealthState.HEALTHY
         now += 10.2
-    assert pauses == sorted(pauses)
-    assert pauses[-1] > 4 * pauses[0]
+    assert backoffs == sorted(backoffs)
+    assert backoffs[-1] > 4 * backoffs[0]
 
 
 def test_trial_takes_one_idempotent_request_at_a_time_and_no_order():
@@ -244,7 +223,7 @@
         assert bench.pool.choose(kind, 2.0, bench.rng) is not member
 
 
-def test_orders_go_only_to_targets_in_good_standing():
+def test_orders_go_only_to_healthy_targets():
     bench = Bench()
     for key in bench.keys[:3]:
         bench.pool.members[key].set_health(HealthState.SLOW_START, 1.0, "")
@@ -253,14 +232,12 @@
         assert chosen.target.key == bench.keys[3]
 
 
-def test_ejections_are_taken_back_when_others_leave():
-    """
-    Targets begin to leave while others are ejected, and too few are left.
-    """
+def test_ejected_targets_are_readmitted_when_others_drain():
+    """Guards against too few targets when some drain while others are ejected."""
     bench = Bench(floor=2)
-    bench.work_well(1.0)
+    bench.succeed_for_all_hosts(1.0)
     for number in (0, 1):
-        bench.fail_everywhere(bench.keys[number], 2.0)
+        bench.fail_for_all_hosts(bench.keys[number], 2.0)
         bench.review(2.1)
         bench.review(3.2)
     assert count_active(bench.pool) == 3
@@ -270,9 +247,9 @@
     assert count_active(bench.pool) == 2
 
 
-def test_reused_address_starts_clean():
+def test_new_target_at_a_reused_address_starts_without_evidence():
     bench = Bench()
-    bench.fail_everywhere(bench.keys[0], 2.0)
+    bench.fail_for_all_hosts(bench.keys[0], 2.0)
     fresh = Target("new", "10.0.0.0:80", "a")
     service = bench.service._replace(targets=(fresh, *bench.service.targets[1:]))
     bench.pool.update(service, 4, 3.0)
@@ -292,23 +269,23 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True, database=None)
 @given(actions=ACTIONS, floor=st.integers(1, 6))
-def test_floor_holds_whatever_is_seen_and_told(actions, floor):
+def test_floor_holds_for_any_sequence_of_events(actions, floor):
     """
-    Removing unhealthy targets leaves too few for the service's callers.
+    Guards against ejections that leave fewer targets in use than the floor.
 
-    Evidence, leaving marks and trials come in any order, as they do when hosts are
-    cut in two, pause or start anew: a host's own count must always be enough.
+    Evidence, drain marks and trial results may come in any order, for example when
+    hosts are partitioned, paused or restarted.
     """
     bench = Bench(targets=6, floor=floor)
     leaving = set()
     now = 1.0
-    bench.work_well(now, 3)
+    bench.succeed_for_all_hosts(now, 3)
     for action, number, seconds in actions:
         key = bench.keys[number]
         if action == "fail":
-            bench.fail_everywhere(key, now, 5)
+            bench.fail_for_all_hosts(key, now, 5)
         elif action == "good":
-            bench.work_well(now, 1)
+            bench.succeed_for_all_hosts(now, 1)
         elif action == "leave":
             leaving.add(key)
         elif action == "stay":
@@ -328,14 +305,14 @@
 
 
 @pytest.mark.parametrize("weighing", list(DetectionTradeoff))
-def test_healthy_target_is_not_ejected_by_usual_noise(weighing):
+def test_healthy_target_is_not_ejected_by_normal_noise(weighing):
     rng = random.Random(3)
     bench = Bench(weighing)
     for step in range(3000):
         key = rng.choice(bench.keys)
         roll = rng.random()
-        sign = HealthSignal.SLOW if roll < 0.09 else HealthSignal.GOOD
+        signal = HealthSignal.SLOW if roll < 0.09 else HealthSignal.GOOD
         if roll > 0.998:
-            sign = HealthSignal.FAILED
-        bench.evidence.note_signal(key, sign, step * 0.05)
+            signal = HealthSignal.FAILED
+        bench.evidence.note_signal(key, signal, step * 0.05)
         assert bench.review(step * 0.05) == []
--- a/packages/plumsaddle-core/plumsaddle_core/ops/keeper.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/keeper.py
@@ -1,14 +1,14 @@
 """
-Hand out the slots of a contended service in one place.
+Allocates the slots of a contended service centrally, on one of the hosts.
 
-Forty hosts that each guess at a few slots shed and try again; a queue in one place
-does not. Hosts that have seen sheds lately ask the service's keeper, a host chosen by
-rendezvous hash. Being keeper is a hint and never a need: who gets no grant in time
-goes direct, and the target's own shed still guards its slots. So a keeper that is
-gone, slow, or doubled costs time and tries, nothing else.
+Many hosts that compete for few slots waste attempts on sheds. So hosts that have
+recently seen sheds request slots from the service's allocator, which runs on the host
+that rendezvous hashing selects. It is an optimization only: a request without a grant
+in time is sent directly, and targets still shed what exceeds their slots. A missing,
+slow or duplicate allocator costs latency and attempts, but not correctness.
 
-A grant that is never given back, since its host was killed, lapses after a while. If
-its host was only slow, the target sheds one request more.
+Grants that are not released, for example after a crash of their host, expire. If the
+host was only slow, the target may shed an additional request.
 """
 
 import heapq
@@ -17,12 +17,12 @@
 
 import xxhash
 
-GRANT_FOR = 30.0
-SHED_REST = 0.015
+GRANT_TTL = 30.0
+SHED_COOLDOWN = 0.015
 
 
 class Grant(NamedTuple):
-    """A slot at a target for a waiting request."""
+    """A slot of a target, granted to a waiting request."""
 
     ticket: Any
     target: str
@@ -30,7 +30,7 @@
 
 
 class Waiting(NamedTuple):
-    """A request that waits for a grant; the count keeps the order of equals."""
+    """A request waiting for a grant; `count` orders those with equal deadlines."""
 
     deadline: float
     count: int
@@ -39,41 +39,41 @@
 
 class SlotAllocator:
     """
-    The slots of one service, as its keeper counts them.
+    Allocates the slots of one service.
 
     Args:
-      slots: The slots of each target.
+      slots: The number of slots of each target.
     """
 
     def __init__(self, slots):
         self.slots = slots
-        self._granted = {}
+        self._grants = {}
         self._busy = {}
-        self._rests = {}
+        self._cooldown_until = {}
         self._waiting = []
         self._count = itertools.count()
 
     def request_slot(self, ticket, deadline):
-        """Let a request wait for a slot."""
+        """Queue a request for a slot."""
         heapq.heappush(self._waiting, Waiting(deadline, next(self._count), ticket))
 
     def release(self, number, now, is_shed):
         """
-        Take a slot back.
+        Release a granted slot.
 
         Args:
-          number: The grant's number; one that has lapsed is passed over.
+          number: The grant's number; an expired grant is ignored.
           now: The present, in seconds.
-          is_shed: Whether the target was full, so that others than those who ask
-            here use it; it is then left alone for a moment.
+          is_shed: Whether the target shed the request, since hosts without a grant use
+            it too; it then gets no grants for `SHED_COOLDOWN`.
         """
-        granted = self._granted.pop(number, None)
+        granted = self._grants.pop(number, None)
         if granted is None:
             return
         target = granted[0]
         self._busy[target] -= 1
         if is_shed:
-            self._rests[target] = now + SHED_REST
+            self._cooldown_until[target] = now + SHED_COOLDOWN
 
     def grant_slots(self, targets, now):
         """
@@ -85,51 +85,50 @@
         Returns:
           A list of `Grant`.
         """
-        self._lapse(now)
+        self._expire_grants(now)
         while self._waiting and self._waiting[0].deadline <= now:
             heapq.heappop(self._waiting)
         grants = []
         while self._waiting:
-            target = self._freest(targets, now)
+            target = self._least_busy(targets, now)
             if target is None:
                 break
             waiting = heapq.heappop(self._waiting)
             number = next(self._count)
-            self._granted[number] = (target, now + GRANT_FOR)
+            self._grants[number] = (target, now + GRANT_TTL)
             self._busy[target] = self._busy.get(target, 0) + 1
             grants.append(Grant(waiting.ticket, target, number))
         return grants
 
-    def _freest(self, targets, now):
-        """Return the target with the fewest slots granted, or None if all are."""
+    def _least_busy(self, targets, now):
+        """Return the target with the fewest granted slots, or None if all are full."""
         usable = [
             (self._busy.get(target, 0), target)
             for target in targets
             if self._busy.get(target, 0) < self.slots
-            and self._rests.get(target, 0.0) <= now
+            and self._cooldown_until.get(target, 0.0) <= now
         ]
         return min(usable)[1] if usable else None
 
-    def _lapse(self, now):
-        # Grants are made in the order of their ends, so the first tells.
-        while self._granted:
-            number, (target, until) = next(iter(self._granted.items()))
+    def _expire_grants(self, now):
+        # `_grants` is in order of expiry.
+        while self._grants:
+            number, (target, until) = next(iter(self._grants.items()))
             if until > now:
                 return
-            del self._granted[number]
+            del self._grants[number]
             self._busy[target] -= 1
 
 
 def choose_allocator(service, hosts):
     """
-    Return the host that keeps a service's slots.
+    Return the host that allocates a service's slots.
 
     Args:
       service: The service's name.
       hosts: The ids of the hosts believed to be alive; at least one.
     Returns:
-      An id. Hosts that believe the same choose the same, and when one goes only
-      its own services move.
+      A host id. When a host is removed, only its own services move.
     """
     return max(
         hosts, key=lambda host: xxhash.xxh3_64_intdigest(f"{service}\n{host}".encode())
--- a/packages/plumsaddle-core/plumsaddle_core/ops/marks.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/marks.py
@@ -1,9 +1,9 @@
 """
-Which targets are known to leave, by whatever was first to say so.
+Tracks which targets are draining.
 
-The configuration, the platform's list and the target's own word can each say it.
-Hosts tell each other, with the seconds that a mark is still good for; passing on
-does not renew it, only its source does, so a mark goes when its source goes silent.
+A mark comes from the platform's list or from the target itself, and hosts exchange
+marks with their remaining lifetimes. Only the source renews a mark, not its exchange,
+so that it expires once the source no longer reports it.
 """
 
 from typing import NamedTuple
@@ -15,33 +15,33 @@
 
 
 class Mark(NamedTuple):
-    """A target that is leaving, and for how many more seconds that is good."""
+    """A draining target, and the remaining lifetime of the mark in seconds."""
 
     target: TargetKey
     seconds: float
 
 
 class DrainMarks:
-    """The leaving targets known to one host."""
+    """The draining targets known to one host."""
 
     def __init__(self):
-        self._until = {}
+        self._expires_at = {}
 
     def add(self, target, seconds, now):
-        """Take a mark, which lasts as long as the longest word on it."""
-        until = now + seconds
-        if until > self._until.get(target, 0.0):
-            self._until[target] = until
+        """Add a mark; the latest expiry of a target applies."""
+        expires_at = now + seconds
+        if expires_at > self._expires_at.get(target, 0.0):
+            self._expires_at[target] = expires_at
 
     def merge(self, marks, now):
         """
-        Take the marks that another host told of.
+        Merge the marks of another host.
 
         Args:
           marks: A list of `Mark`.
           now: The present, in seconds.
         Returns:
-          Whether one of them was news.
+          Whether a target was not marked before.
         """
         current = self.targets(now)
         for mark in marks:
@@ -49,11 +49,13 @@
         return any(mark.target not in current for mark in marks)
 
     def targets(self, now):
-        """Return the keys of the targets that are leaving."""
-        self._until = {key: at for key, at in self._until.items() if at > now}
-        return set(self._until)
-
-    def marks_to_send(self, now, most):
-        """Return the marks to pass on, the longest-lasting first."""
-        marks = [Mark(key, at - now) for key, at in self._until.items() if at > now]
-        return sorted(marks, key=lambda mark: -mark.seconds)[:most]
+        """Drop expired marks, and return the keys of the draining targets."""
+        self._expires_at = {key: at for key, at in self._expires_at.items() if at > now}
+        return set(self._expires_at)
+
+    def marks_to_send(self, now, max_marks):
+        """Return the marks to send to another host, the longest-lived first."""
+        marks = [
+            Mark(key, at - now) for key, at in self._expires_at.items() if at > now
+        ]
+        return sorted(marks, key=lambda mark: -mark.seconds)[:max_marks]
--- a/packages/plumsaddle-core/plumsaddle_core/ops/members.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/members.py
@@ -1,23 +1,23 @@
 """
-Which hosts there are, from the platform's list and from the hosts' own words.
+Tracks the hosts of the fleet by gossip and by the platform's list.
 
-Each host's beat grows while it runs. Hosts pass each other's rows on, and a row
-replaces an older one of the same host if its incarnation is newer, or the same with
-a higher beat. A host is alive while its beat grows; the platform's list, which lags
-and may be away for hours, only tells of addresses to try. All of it is a hint:
-nothing that must hold depends on who is believed to be alive.
+Each host increments its heartbeat, `beat`, while it runs, and hosts gossip their rows.
+A row replaces one of the same host if its incarnation is newer, or equal with a higher
+beat. A host is alive while its beat grows. The platform's list, which may be stale or
+unavailable for hours, only supplies addresses to try. Membership is a hint: no safety
+property depends on it.
 """
 
 from typing import NamedTuple
 
 from ..core.ids import Address, DataCentre, HostId, Incarnation, VersionNumber
 
-ALIVE_FOR = 10.0
-FORGET_AFTER = 600.0
+ALIVE_TTL = 10.0
+EVICT_AFTER = 600.0
 
 
 class Member(NamedTuple):
-    """A host as it tells of itself. Incarnations of one host sort by their start."""
+    """A host's row about itself. Incarnations of a host sort by their start."""
 
     id: HostId
     incarnation: Incarnation
@@ -31,7 +31,7 @@
 
 class Members:
     """
-    The hosts known to this one.
+    The hosts known to this host.
 
     Args:
       own: This host's first `Member` row.
@@ -40,13 +40,13 @@
 
     def __init__(self, own, now):
         self.own = own
-        self.started = now
+        self.started_at = now
         self.rows = {}
-        self.heard = {}
+        self.heard_at = {}
         self.listed = {}
 
     def beat(self, version, is_leaving, is_suspect_itself):
-        """Return this host's row for the next exchange."""
+        """Advance this host's heartbeat and return its row."""
         self.own = self.own._replace(
             beat=self.own.beat + 1,
             version=version,
@@ -57,10 +57,10 @@
 
     def merge(self, rows, now):
         """
-        Take rows that another host passed on.
+        Merge the rows that another host sent.
 
         Args:
-          rows: A list of `Member`, in any order, as old as they may be.
+          rows: A list of `Member`, in any order and of any age.
           now: The present, in seconds.
         """
         for row in rows:
@@ -68,84 +68,86 @@
             if row.id == self.own.id or (known and _age(row) <= _age(known)):
                 continue
             self.rows[row.id] = row
-            self.heard[row.id] = now
+            self.heard_at[row.id] = now
 
     def set_listed(self, listed):
-        """Take the platform's list: a dict from host id to address."""
+        """Set the platform's list, a dict from host id to address."""
         self.listed = {key: at for key, at in listed.items() if key != self.own.id}
 
     def evict_silent(self, now):
-        """Drop hosts that have been silent for long."""
-        for key in [key for key, at in self.heard.items() if now - at > FORGET_AFTER]:
+        """Drop hosts not heard of for `EVICT_AFTER` seconds."""
+        for key in [key for key, at in self.heard_at.items() if now - at > EVICT_AFTER]:
             del self.rows[key]
-            del self.heard[key]
+            del self.heard_at[key]
 
     def alive(self, now):
-        """Return the rows of the hosts that were heard of lately, but the own one."""
+        """Return the rows of the hosts that are alive, without this host's."""
         return [
-            row for key, row in self.rows.items() if now - self.heard[key] < ALIVE_FOR
+            row
+            for key, row in self.rows.items()
+            if now - self.heard_at[key] < ALIVE_TTL
         ]
 
     def is_gone(self, incarnation, now):
         """
-        Tell whether an incarnation of a host is believed to be gone.
+        Return whether an incarnation of a host is believed to be gone.
 
         Args:
           incarnation: The incarnation, which begins with the host's id.
           now: The present, in seconds.
         Returns:
-          False while it may still speak for itself. A host that has just started
-          has heard of nobody yet and waits before it calls anybody gone.
+          Whether it is gone. A host that has just started has not heard of the others
+          yet, so it waits for `ALIVE_TTL` before it considers an unknown one gone.
         """
-        row = self.rows.get(host_of(incarnation))
+        row = self.rows.get(host_id_of(incarnation))
         if row is None:
-            return now - self.started > ALIVE_FOR
+            return now - self.started_at > ALIVE_TTL
         if row.incarnation != incarnation:
             return row.incarnation > incarnation
-        return now - self.heard[row.id] > ALIVE_FOR
+        return now - self.heard_at[row.id] > ALIVE_TTL
 
     def data_centre_of(self, incarnation):
-        """Return the data centre of a host's incarnation, or an empty text."""
-        key = host_of(incarnation)
+        """Return the data centre of an incarnation, or an empty text if unknown."""
+        key = host_id_of(incarnation)
         row = self.own if key == self.own.id else self.rows.get(key)
         return row.data_centre if row else DataCentre("")
 
-    def choose_peers(self, rng, now, most, seeds):
+    def choose_peers(self, rng, now, max_count, seeds):
         """
-        Choose whom to exchange with in this round.
+        Choose the peers for a gossip round.
 
         Args:
           rng: A `random.Random`.
           now: The present, in seconds.
-          most: How many to choose.
-          seeds: Addresses from the settings, for a host that knows nobody.
+          max_count: The maximum number of peers.
+          seeds: Addresses from the settings, for a host that knows no others.
         Returns:
-          A list of addresses: one in another data centre if there is any, and now
-          and then one that is only listed or a seed, so that groups of hosts that
-          lost each other for long find each other again.
+          A list of addresses. One is in another data centre if possible, and sometimes
+          one is a seed or only in the platform's list, so that partitioned groups of
+          hosts find each other again.
         """
         alive = self.alive(now)
-        near = [row.address for row in alive if self._is_near(row)]
-        far = [row.address for row in alive if not self._is_near(row)]
-        chosen = rng.sample(far, min(1, len(far)))
-        chosen += rng.sample(near, min(most - len(chosen), len(near)))
+        local = [row.address for row in alive if self._is_local(row)]
+        remote = [row.address for row in alive if not self._is_local(row)]
+        chosen = rng.sample(remote, min(1, len(remote)))
+        chosen += rng.sample(local, min(max_count - len(chosen), len(local)))
         known = {row.address for row in alive} | {self.own.address}
-        silent = sorted((set(self.listed.values()) | set(seeds)) - known)
-        if silent and (not chosen or rng.random() < 0.2):
-            chosen = chosen[: most - 1] + [rng.choice(silent)]
+        unknown = sorted((set(self.listed.values()) | set(seeds)) - known)
+        if unknown and (not chosen or rng.random() < 0.2):
+            chosen = chosen[: max_count - 1] + [rng.choice(unknown)]
         return chosen
 
-    def _is_near(self, row):
+    def _is_local(self, row):
         return row.data_centre == self.own.data_centre
 
-    def rows_to_send(self, now, most):
-        """Return the rows to pass on, the own one first, then the newest."""
-        alive = sorted(self.alive(now), key=lambda row: -self.heard[row.id])
-        return [self.own, *alive[: most - 1]]
+    def rows_to_send(self, now, max_count):
+        """Return the rows to send: this host's own, then the most recently heard."""
+        alive = sorted(self.alive(now), key=lambda row: -self.heard_at[row.id])
+        return [self.own, *alive[: max_count - 1]]
 
 
-def host_of(incarnation):
-    """Return the id of the host that an incarnation belongs to."""
+def host_id_of(incarnation):
+    """Return the host id of an incarnation."""
     return HostId(incarnation.rpartition("@")[0])
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/pool.py
@@ -36,7 +36,7 @@
         self.since = -math.inf
         self.ejected_until = -math.inf
         self.ejections = 0
-        self.trials = 0
+        self.passed_trials = 0
         self.reason = ""
 
     def set_health(self, health, now, reason):
@@ -88,7 +88,7 @@
           hosts_max: The maximum number of hosts at a time.
           now: The present, in seconds.
         """
-        is_first = not self.members
+        is_initial = not self.members
         self.service = service
         limit = host_limit(service, hosts_max)
         updated = {}
@@ -96,7 +96,7 @@
             member = self.members.get(target.key)
             if member is None:
                 member = PoolMember(target, limit)
-                if not is_first:
+                if not is_initial:
                     member.set_health(
                         HealthState.SLOW_START, now, "the target was added"
                     )
@@ -174,7 +174,7 @@
     def release(self, member, now, is_shed=False):
         """Release the slot of an attempt, and note whether the target shed it."""
         member.in_flight -= 1
-        assert member.in_flight >= 0, "a slot was latest twice"
+        assert member.in_flight >= 0, "slot released twice"
         if is_shed:
             member.shed_at = self.shed_at = now
             member.consecutive_sheds += 1
@@ -200,9 +200,9 @@
         return False
     if member.health is HealthState.TRIAL:
         # A stalled target sheds its trials; without a pause each request would try it.
-        is_rested = now - member.shed_at >= TRIAL_PAUSE
+        is_pause_over = now - member.shed_at >= TRIAL_PAUSE
         is_idle = member.in_flight == 0
-        return kind is RequestKind.IDEMPOTENT and is_idle and is_rested
+        return kind is RequestKind.IDEMPOTENT and is_idle and is_pause_over
     if now - member.shed_at < member.shed_pause():
         return False
     return member.in_flight < member.max_in_flight(now)
