--- a/packages/plumsaddle-core/plumsaddle_core/ops/members.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/members.py
@@ -45,7 +45,7 @@
         self.heard_at = {}
         self.listed = {}
 
-    def beat(self, version, is_leaving, is_suspect_itself):
+    def advance_beat(self, version, is_leaving, is_suspect_itself):
         """Advance this host's heartbeat and return its row."""
         self.own = self.own._replace(
             beat=self.own.beat + 1,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
@@ -243,7 +243,7 @@
         """Return the `News` for another host."""
         now = asyncio.get_running_loop().time()
         number = self.applied.number if self.applied else 0
-        self.members.beat(number, self.is_leaving, self.is_suspect_itself)
+        self.members.advance_beat(number, self.is_leaving, self.is_suspect_itself)
         rows = []
         for state in self.services.values():
             rows += state.evidence.rows_to_send(now, ROWS_MOST - len(rows))
