--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection_test.py
@@ -103,7 +103,7 @@
 
 
 def test_last_live_host_of_a_fleet_ejects_on_its_own():
-    """Guards against crashed hosts whose missing reports keep a failing target in use."""
+    """Guards against a failing target kept in use because other hosts crashed."""
     bench = Bench()
     bench.succeed_for_all_hosts(1.0)
     bench.report("b1@1", bench.keys[0], 2.0, failed=1)
