--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
@@ -112,7 +112,7 @@
             f"score {score.total:.1f}, own {score.own:.1f}, {score.observers} observers"
         )
         changes.append(_eject(pool.members[key], now, rng, reason))
-        evidence.reset_sums(key)
+        evidence.clear(key)
     return changes
 
 
@@ -149,10 +149,10 @@
         if now < member.ejected_until:
             return []
         member.passed_trials = 0
-        evidence.reset_sums(member.target.key)
+        evidence.clear(member.target.key)
         member.set_health(HealthState.TRIAL, now, "the back-off has ended")
     elif old is HealthState.TRIAL and member.passed_trials >= TRIALS_NEEDED:
-        evidence.reset_sums(member.target.key)
+        evidence.clear(member.target.key)
         member.set_health(
             HealthState.SLOW_START, now, f"{TRIALS_NEEDED} successful trials"
         )
@@ -207,7 +207,7 @@
     while ejected and count_active(pool) < effective_floor(pool):
         member = ejected.pop()
         old = member.health
-        evidence.reset_sums(member.target.key)
+        evidence.clear(member.target.key)
         member.set_health(HealthState.SLOW_START, now, "readmitted to meet the floor")
         changes.append(
             HealthChange(member.target.key, old, member.health, member.reason)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
@@ -398,7 +398,7 @@
         median = statistics.median(others) if others else 0.0
         return own >= max(OUTLIER_FACTOR * median, median + OUTLIER_MARGIN)
 
-    def reset_sums(self, target):
+    def clear(self, target):
         """Reset the sums of a target that gets another chance."""
         view = self._view(target)
         view.failures.by_reporter.clear()
