--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -25,9 +25,9 @@
 from .suspicion import SuspectCheck
 
 log = logging.getLogger("relay")
-# A send that takes longer than this multiple of its expected duration, which includes
-# queueing at the target, counts as failed in the health of the target.
-STUCK_FACTOR = 3.0
+# The multiple of its expected duration, including queueing at the target, after which
+# a send is overdue and counts as failed in the health of the target.
+OVERDUE_FACTOR = 3.0
 # The multiple of the expected duration after which an idempotent request is hedged.
 HEDGE_FACTOR = 2.2
 # Seconds after which hedging is tried again if no target was suitable.
@@ -428,16 +428,16 @@
         target = choice.candidate.target
         started_at = now()
         sent = SendResult(SendOutcome.ABANDONED)
-        stuck_timer = asyncio.get_running_loop().call_later(
-            _slow_threshold(STUCK_FACTOR, choice), self._note_stuck, choice
+        overdue_timer = asyncio.get_running_loop().call_later(
+            _slow_threshold(OVERDUE_FACTOR, choice), self._note_overdue, choice
         )
         try:
             sent = await self._sender.send(self._request, target, self._suspect_check)
         finally:
             fate, seconds = sent.outcome, now() - started_at
             self._is_body_consumed = self._is_body_consumed or sent.is_body_consumed
-            is_stuck = stuck_timer.when() <= asyncio.get_running_loop().time()
-            stuck_timer.cancel()
+            is_overdue = overdue_timer.when() <= asyncio.get_running_loop().time()
+            overdue_timer.cancel()
             self._knowledge.note_send_end(target)
             if fate in NOT_SENT:
                 self._attempt.undo_send(target.id)
@@ -452,7 +452,7 @@
                 Feature.SERVICE_TIMES in self._knowledge.settings.disabled_features
             )
             service_time = seconds if includes_queueing else seconds / choice.slowdown
-            if not is_stuck:
+            if not is_overdue:
                 self._knowledge.note_outcome(
                     target, self._request.route, fate, service_time
                 )
@@ -464,7 +464,7 @@
             self._log_failure(target, sent._replace(outcome=fate), seconds)
         return CompletedSend(target, fate, sent.reply, seconds)
 
-    def _note_stuck(self, choice):
+    def _note_overdue(self, choice):
         target = choice.candidate.target
         self._knowledge.note_outcome(
             target, self._request.route, SendOutcome.TIMED_OUT, 0.0
