--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours.py
@@ -140,7 +140,7 @@
         if address == self._hub:
             self._last_hub_message_at = now
 
-    def pick_hub(self, now):
+    def choose_hub(self, now):
         """
         Choose the hub: the live host with the fastest link, ties broken by a hash.
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
@@ -34,7 +34,7 @@
 def test_hosts_with_the_same_view_choose_the_same():
     tables = _fleet({NAMES[7]: 25e6})
     for table in tables.values():
-        table.pick_hub(0.1)
+        table.choose_hub(0.1)
     assert {table.hub or name for name, table in tables.items()} == {NAMES[7]}
     readers = [n for n, t in tables.items() if t.is_reader(StoreStatus.TOLD, 0.1)]
     assert len(readers) == READER_COUNT
@@ -77,7 +77,7 @@
 
 def test_the_only_host_of_a_data_centre_does_all():
     alone = PeerTable(NAMES[0], None)
-    assert not alone.pick_hub(1.0)
+    assert not alone.choose_hub(1.0)
     assert alone.hub is None
     assert alone.is_reader(StoreStatus.TOLD, 1.0)
 
@@ -89,12 +89,12 @@
     tables = _fleet()
     own = NAMES[0]
     table = tables[own]
-    table.pick_hub(0.0)
+    table.choose_hub(0.0)
     hub = table.hub
     assert hub is not None
     left_at = HUB_TIMEOUT + 0.01
     _note_messages({own: table}, NAMES, left_at)
-    assert table.pick_hub(left_at)
+    assert table.choose_hub(left_at)
     assert table.hub != hub
     second = table.hub
     for step in range(40):
@@ -102,10 +102,10 @@
         _note_messages({own: table}, NAMES, at)
         table.note_hub_message(second, at)
         table.note_echo(at, at)
-        assert not table.pick_hub(at)
+        assert not table.choose_hub(at)
     at = left_at + HUB_RETRY_DELAY
     _note_messages({own: table}, NAMES, at)
     table.note_hub_message(second, at)
     table.note_echo(at, at)
-    assert table.pick_hub(at)
+    assert table.choose_hub(at)
     assert table.hub == hub
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -248,7 +248,7 @@
     def _pick_hub(self, at):
         """Choose the hub, and return whether it has changed."""
         former_hub = self._peer_table.hub
-        if not self._peer_table.pick_hub(at):
+        if not self._peer_table.choose_hub(at):
             return False
         log.info(
             "hub changed", extra={"peer": self._peer_table.hub, "former": former_hub}
--- a/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
@@ -115,7 +115,7 @@
         gate = StoreAccess(_ignore, _ignore, _ignore)
         peers = PeerProtocol(settings, shared, gate, [], self._rng, self._call_later)
         if not has_hub:
-            peers._peer_table.pick_hub = lambda at: False
+            peers._peer_table.choose_hub = lambda at: False
         peers.connection_made(_Transport(self, number, address))
         self._hosts[address] = (peers, shared)
         self._push(self._rng.random(), self._beat, peers)
