--- a/packages/plumsaddle-core/plumsaddle_core/ops/news.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/news.py
@@ -35,7 +35,7 @@
 
 
 # Signals whose sending may be delayed, since they raise no failure estimate.
-DEFERRABLE_OUTCOMES = {HealthSignal.SUCCEEDED, HealthSignal.LATE}
+DEFERRABLE_SIGNALS = {HealthSignal.SUCCEEDED, HealthSignal.LATE}
 
 
 class OutcomeRecord(NamedTuple):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -24,7 +24,7 @@
     choose_target,
 )
 from plumsaddle_core.ops.floor import Trials
-from plumsaddle_core.ops.news import DEFERRABLE_OUTCOMES, HealthSignal
+from plumsaddle_core.ops.news import DEFERRABLE_SIGNALS, HealthSignal
 from plumsaddle_core.ops.registry import Registry
 from plumsaddle_core.ops.route_table import build_route_table
 from plumsaddle_core.ops.subset import (
@@ -464,7 +464,7 @@
         self.shared.note_outcome(
             target.incarnation, target.service, route.name, signal, seconds, now()
         )
-        self._notify(is_urgent=signal not in DEFERRABLE_OUTCOMES)
+        self._notify(is_urgent=signal not in DEFERRABLE_SIGNALS)
 
     def _notify(self, is_urgent):
         if self._on_change is not None:
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -14,7 +14,7 @@
 from plumsaddle_core.core.traffic import target_id_of
 from plumsaddle_core.limits.advertised import LimitRow
 from plumsaddle_core.limits.liveness import HostCount
-from plumsaddle_core.ops.news import DEFERRABLE_OUTCOMES
+from plumsaddle_core.ops.news import DEFERRABLE_SIGNALS
 from plumsaddle_core.ops.suspects import RunRecord
 
 from ..utils.addresses import is_address
@@ -106,7 +106,7 @@
             if self._apply_host_update(message, at):
                 self._buffer.add_host_update(message.host, data)
                 is_deferrable = all(
-                    row[4] in DEFERRABLE_OUTCOMES for row in message.outcomes
+                    row[4] in DEFERRABLE_SIGNALS for row in message.outcomes
                 )
                 has_run_records = (
                     self._shared.suspects.local_record_count > known_run_records
