--- a/packages/plumsaddle-core/plumsaddle_core/ops/belief.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/belief.py
@@ -123,7 +123,7 @@
     """
     Return the likelihood ratio of an overdue send, or of a rejection with slots free.
 
-    The rarer such outcomes are among all sends, the more one tells of its target.
+    The rarer such outcomes are among all sends, the more one shows about its target.
 
     Args:
       share: The fraction of all comparable sends that end so.
--- a/packages/plumsaddle-core/plumsaddle_core/ops/claims.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/claims.py
@@ -115,8 +115,8 @@
         Fold a record and return what it decides for this host.
 
         A claim of this host that wins its key after the host gave it up was appended
-        although the append seemed to fail. Its caller has been told that the order was
-        not run, so the claim is released.
+        although the append seemed to fail. It was reported to its caller as not
+        run, so the claim is released.
 
         Args:
           record: The next `Record` of the stream.
--- a/packages/plumsaddle-core/plumsaddle_core/ops/claims_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/claims_test.py
@@ -341,7 +341,7 @@
 
 def test_orders_run_at_most_once():
     """
-    An order is executed twice, or after it was reported as not run.
+    Guards against executing an order twice, or after it was reported as not run.
 
     That happens if a decision depends on anything but the order of the log's records.
     """
@@ -366,7 +366,7 @@
 
 def test_claim_that_is_read_after_it_was_given_up_is_released():
     """
-    A caller is told "not run", retries, and is answered with "running" forever.
+    Guards against "running" forever in response to a retry after "not run".
 
     The append's response was lost, so the host gave up the claim, but the claim is in
     the log and holds its key.
@@ -384,7 +384,7 @@
 
 def test_release_that_precedes_its_claim_voids_it():
     """
-    A claim holds its key although its caller was told "not run".
+    Guards against a claim that holds its key although "not run" was reported.
 
     Its append took effect only after its release was appended.
     """
@@ -411,7 +411,7 @@
 
 def test_orphaned_claim_is_unknown_and_can_be_settled():
     """
-    An order whose host was killed is reported as "running" forever.
+    Guards against reporting an order as "running" forever after its host was killed.
 
     Without an outcome in the log it must be reported as "unknown" at once.
     """
@@ -424,7 +424,7 @@
 
 
 def test_key_before_the_horizon_is_refused_and_never_run():
-    """An order is run a second time because its key is no longer remembered."""
+    """Guards against running an order again because its key was forgotten."""
     claims = make_claims()
     claims.feed(Record(0, (Horizon(150),)))
     assert claims.answer_from_log("k1", 100, "a").reason is Reason.KEY_EXPIRED
@@ -436,7 +436,7 @@
 
 def test_host_that_missed_records_refuses_orders():
     """
-    A host runs an order that was claimed in a record that expired before it was read.
+    Guards against running an order claimed in a record that expired before it was read.
 
     The host must refuse all orders until it has read a checkpoint.
     """
@@ -450,7 +450,7 @@
 
 def test_claim_that_lost_stays_void_when_the_key_is_free_again():
     """
-    An order runs although its caller was told that another claim holds the key.
+    Guards against running an order after reporting that another claim holds the key.
 
     The losing claim is duplicated in the log after the winner was released.
     """
@@ -463,7 +463,7 @@
 
 def test_duplicate_of_a_released_claim_stays_void():
     """
-    A key is held forever by a claim that was released.
+    Guards against a key that is held forever by a claim that was released.
 
     The platform stores the claim's record twice, the second time after the release.
     """
@@ -475,7 +475,7 @@
 
 def test_checkpoint_with_a_gap_after_it_is_not_used():
     """
-    A new host runs an order that was run already.
+    Guards against a new host that runs an order that was run already.
 
     Records between the checkpoint's offset and the first record of the log expired.
     """
@@ -490,7 +490,7 @@
 
 def test_order_is_running_until_its_outcome_is_in_the_log():
     """
-    A caller whose order has just run retries and is told "unknown".
+    Guards against "unknown" in response to a retry of an order that has just run.
 
     The outcome was being appended, and the host had dropped its claim already.
     """
--- a/packages/plumsaddle-core/plumsaddle_core/ops/fingerprint_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/fingerprint_test.py
@@ -26,7 +26,7 @@
 
 def test_a_retry_has_the_same_key():
     """
-    Each retry of a request that crashes targets is counted as another request.
+    Guards against counting each retry of a request that crashes targets as another one.
 
     A retry differs in its request id, deadline and trace.
     """
@@ -52,7 +52,7 @@
 
 def test_the_key_of_a_long_upload_does_not_depend_on_how_much_is_buffered():
     """
-    Each retry of an upload that crashes targets is counted as another request.
+    Guards against counting each retry of an upload that crashes targets as another one.
 
     Uploads are streamed, and how much has arrived when the key is made differs.
     """
--- a/packages/plumsaddle-core/plumsaddle_core/ops/pacing_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/pacing_test.py
@@ -63,7 +63,7 @@
 def test_small_data_centres_send_at_once_and_large_ones_batch(
     others, events, max_median_wait
 ):
-    """Hosts of large data centres would spend more on updates than on requests."""
+    """Guards against updates that cost more than requests in large data centres."""
     rng = random.Random(1)
     datagrams = OverdraftBucket(MAX_DATAGRAM_RATE)
     at, sent, due, waits = 0.0, 0, None, []
@@ -99,7 +99,7 @@
 
 
 def test_urgent_updates_have_datagrams_of_their_own():
-    """Otherwise load updates could delay the first report of a failure."""
+    """Guards against load updates that delay the first report of a failure."""
     pacer = SendPacer(None)
     spent = MAX_DATAGRAM_RATE * BURST_SECONDS + 60
     pacer.spend(spent, 0, 0.0)
--- a/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/suspects_test.py
@@ -41,7 +41,7 @@
 
 def test_a_harmless_request_beside_a_harmful_one_is_not_held_back():
     """
-    A harmless request is refused because it ran where another request crashed targets.
+    Guards against refusing a harmless request that ran where another crashed targets.
 
     It was present at three crashes, the other one at four.
     """
@@ -54,7 +54,7 @@
 
 def test_a_second_bad_request_is_found_beside_the_first():
     """
-    A harmful request is never held back because another one explains its crashes.
+    Guards against never holding back a harmful request beside another one.
 
     Two more crashes after the first request is held back must suffice.
     """
@@ -68,7 +68,7 @@
 
 def test_a_popular_request_is_not_held_back_for_unrelated_crashes():
     """
-    A popular harmless request is refused.
+    Guards against refusing a popular harmless request.
 
     It ran on two targets that two harmful requests crashed, and on one that crashed
     for another reason.
@@ -84,7 +84,7 @@
 
 def test_a_harmless_request_is_released_once_the_cause_has_more_crashes():
     """
-    A harmless request that was held back first stays refused.
+    Guards against refusing a harmless request for good if it was held back first.
 
     The cause was not known at first; its next crash must release the other request.
     """
@@ -115,7 +115,7 @@
 
 def test_each_crash_after_a_hold_doubles_the_next_hold():
     """
-    A request stays refused although a new release of the targets can handle it.
+    Guards against refusing a request that a new release of the targets can handle.
 
     It is released after a while, held twice as long after a further crash, and free
     once it was answered.
@@ -137,7 +137,7 @@
 
 def test_a_crash_beyond_the_kept_incarnations_is_not_gossiped():
     """
-    Hosts flood the links with urgent messages about one request.
+    Guards against flooding the links with urgent messages about one request.
 
     Each host took an incarnation beyond the limit for new each time it was received.
     """
@@ -171,7 +171,7 @@
 
 def test_many_single_crashes_do_not_evict_a_harmful_request():
     """
-    A harmful request is released because a host has evicted it.
+    Guards against releasing a harmful request because a host has evicted it.
 
     A large target or a rack crashes, which adds many requests with one crash each.
     """
@@ -220,7 +220,7 @@
 
 def test_a_request_is_stored_from_the_second_crash_on():
     """
-    Two partitioned data centres each allow three crashes.
+    Guards against two partitioned data centres that each allow three crashes.
 
     The store must carry two crashes of one over, so that the next one in the other
     reaches the threshold.
@@ -239,7 +239,7 @@
 
 def test_concurrent_writes_to_the_store_are_merged():
     """
-    A host that starts later reads two of four crashes.
+    Guards against a stored record that lacks crashes after concurrent writes.
 
     The last of two concurrent writes wins, so the host whose crashes it lacks must
     write the union.
@@ -272,7 +272,7 @@
 @pytest.mark.parametrize("count", [1, CRASH_THRESHOLD - 1])
 def test_the_loss_of_a_rack_holds_no_requests_back(count):
     """
-    All callers of a service are refused after its targets lost power at once.
+    Guards against refusing all callers of a service whose targets lost power at once.
 
     Each request ran on one target then, or on two if it was hedged.
     """
--- a/packages/plumsaddle-core/plumsaddle_core/ops/versions_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/versions_test.py
@@ -185,7 +185,7 @@
 
 def test_hosts_agree_and_no_version_reverts():
     """
-    Two hosts serve different configurations, or one reverts to an older one.
+    Guards against hosts that serve different configurations, or revert to an older one.
 
     That happens if accepting a proposal depends on which records a host has read.
     """
@@ -208,7 +208,7 @@
 
 def test_second_copy_of_an_accepted_proposal_stays_accepted():
     """
-    An operator is told that a version in force was rejected.
+    Guards against reporting a version in force as rejected.
 
     The append took effect but its response was lost, and it was retried.
     """
@@ -220,10 +220,10 @@
 
 def test_new_host_does_not_accept_a_rejected_proposal():
     """
-    A new host serves a configuration that was rejected.
+    Guards against a new host that serves a configuration that was rejected.
 
     The record of the accepted proposal has expired, and a rejected one with the same
-    base is the first that is left. Only a checkpoint tells which of them was accepted.
+    base is the first that is left. Only a checkpoint shows which one was accepted.
     """
     fold = new_version_fold()
     fold.begin_read(1)
