--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/strangers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/strangers.py
@@ -58,15 +58,15 @@
         """Return a few addresses per data centre, drawn at random."""
         samples = {}
         for data_centre in self._heard_at:
-            live = self.addresses(data_centre, now)
-            if live:
+            addresses = self.addresses(data_centre, now)
+            if addresses:
                 samples[data_centre] = self._rng.sample(
-                    live, min(HOSTS_PER_MESSAGE, len(live))
+                    addresses, min(HOSTS_PER_MESSAGE, len(addresses))
                 )
         return samples
 
     def needs_more(self, now):
-        """Return whether too few live hosts of some data centre are known."""
+        """Return whether too few hosts of some data centre are known."""
         return any(
             len(self.addresses(c, now)) < HOSTS_PER_MESSAGE
             for c in self._other_data_centres
