--- a/packages/plumsaddle-hosts/plumsaddle_hosts/utils/__init__.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers that both ways of running use."""
+"""Utilities shared by the edge and the daemon."""
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/utils/addresses.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/utils/addresses.py
@@ -1,26 +1,25 @@
 """
-Addresses as IP number and port.
+Parsing of `IP:PORT` addresses.
 """
 
 import functools
 import ipaddress
 
-PORT_MOST = 65535
-# Addresses that are kept taken apart; more than a host knows of hosts and targets.
-KNOWN_MOST = 4096
+MAX_PORT = 65535
+# Must exceed the number of hosts and targets that a host communicates with.
+CACHE_SIZE = 4096
 
 
 def is_address(text):
-    """Return whether something is the text of an IPv4 number and a port."""
+    """Return whether `text` is a string of the form `IPv4:PORT`."""
     return isinstance(text, str) and _is_address(text)
 
 
-# Hosts name each other in each message: with sixty of them a third of the time that
-# their messages took went into checking the same addresses again.
-@functools.lru_cache(maxsize=KNOWN_MOST)
+# Cached because each message between hosts carries the addresses of all hosts.
+@functools.lru_cache(maxsize=CACHE_SIZE)
 def _is_address(text):
     ip, _, port = text.rpartition(":")
-    if not (port.isascii() and port.isdigit() and 0 < int(port) <= PORT_MOST):
+    if not (port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
         return False
     try:
         ipaddress.IPv4Address(ip)
@@ -29,8 +28,8 @@
     return True
 
 
-@functools.lru_cache(maxsize=KNOWN_MOST)
+@functools.lru_cache(maxsize=CACHE_SIZE)
 def split_address(address):
-    """Return the IP number and the port of an address such as `10.0.0.1:80`."""
+    """Split an address such as `10.0.0.1:80` into IP address and port number."""
     ip, _, port = address.rpartition(":")
     return ip, int(port)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/utils/series.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/utils/series.py
@@ -1,5 +1,5 @@
 """
-Metrics that all carry the host's id.
+Creation of metrics labelled with the host's id.
 """
 
 from aioprometheus import Registry
@@ -7,20 +7,20 @@
 
 def new_series(host):
     """
-    Return a registry, and a function that makes metrics in it.
+    Return a registry and a function that creates metrics in it.
 
     The function takes the metric's class, its name without the common prefix and its
-    text, for example `make(Counter, "answers_total", "Answers by status.")`.
+    help text, for example `make(Counter, "answers_total", "Answers by status.")`.
 
     Args:
-      host: The host's id, which every series carries.
+      host: The host's id, the `host` label of every metric.
     """
     registry = Registry()
 
-    def make(shape, name, text, **options):
-        return shape(
+    def make(metric_class, name, help_text, **options):
+        return metric_class(
             f"plumsaddle_{name}",
-            text,
+            help_text,
             const_labels={"host": host},
             registry=registry,
             **options,
