--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/tail.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/tail.py
@@ -1,8 +1,9 @@
 """
-Follow one stream of the log and feed a fold with it.
+Read one stream of the log continuously and apply its records to a fold.
 
-The tail reads from the fold's next offset on and never skips; after a failure it
-waits a little longer each time. Whoever wants to know how the log is asks the tail.
+Reading starts at the fold's next offset and skips no record that the log still holds.
+Failed reads are retried with exponential backoff. The tail also reports whether the log
+can be read.
 """
 
 import asyncio
@@ -18,20 +19,20 @@
 
 class Tail:
     """
-    The reader of one stream.
+    A continuous reader of one stream.
 
     Args:
-      platform: The `Store`.
+      platform: The `Store` to read from.
       stream: The stream's name.
-      fold: The `Fold` that is fed.
-      feed: A function that takes each `Record`; it feeds the fold.
-      on_page: A function called when a page was read, with whether records that
-        were never read are gone.
-      wait: The most seconds that one read waits for a record.
+      fold: The `Fold` whose next offset is read.
+      feed: Called with each `Record`, to apply it to the fold.
+      on_page: Called after each page, with whether records were trimmed from the log
+        before they were read.
+      wait: The maximum number of seconds that one read waits for a record.
     """
 
-    PAUSE_LEAST = 0.1
-    PAUSE_MOST = 2.0
+    MIN_PAUSE = 0.1
+    MAX_PAUSE = 2.0
 
     def __init__(self, platform, stream, fold, feed, on_page, wait):
         self.stream = stream
@@ -45,36 +46,37 @@
 
     async def run(self):
         """Read until cancelled."""
-        pause = self.PAUSE_LEAST
+        pause = self.MIN_PAUSE
         while True:
-            # The first read of a new host must not wait: an empty stream is news.
+            # Don't wait until caught up, so that an empty stream is detected at once.
             wait = self._wait if self.is_caught_up else 0
             result = await self._platform.read_log(
                 self.stream, self._fold.next_offset, wait
             )
             if not isinstance(result, Success):
-                self._note_away(True)
+                self._set_away(True)
                 await asyncio.sleep(pause)
-                pause = min(self.PAUSE_MOST, pause * 2)
+                pause = min(self.MAX_PAUSE, pause * 2)
                 continue
-            pause = self.PAUSE_LEAST
-            self._note_away(False)
-            self._take(result.unwrap())
+            pause = self.MIN_PAUSE
+            self._set_away(False)
+            self._apply_page(result.unwrap())
 
-    def _take(self, page):
-        is_hole = self._fold.begin_read(page.first)
-        if is_hole:
+    def _apply_page(self, page):
+        has_gap = self._fold.begin_read(page.first)
+        if has_gap:
             log.error(
-                "tail: Records of %s were trimmed before they were read.", self.stream
+                "tail: Records of stream %s were trimmed before they were read.",
+                self.stream,
             )
         for raw in page.records:
             if raw.offset >= self._fold.next_offset:
                 self._feed(Record(raw.offset, decode_events(raw.data)))
         self.is_caught_up = self._fold.next_offset >= page.next
-        self._on_page(is_hole)
+        self._on_page(has_gap)
 
-    def _note_away(self, is_away):
+    def _set_away(self, is_away):
         if is_away != self.is_away:
-            word = "does not answer" if is_away else "answers again"
-            log.warning("tail: The log %s for %s.", word, self.stream)
+            state = "does not answer" if is_away else "answers again"
+            log.warning("tail: The log %s for stream %s.", state, self.stream)
         self.is_away = is_away
