--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/batch.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/batch.py
@@ -1,13 +1,14 @@
 """
-Append events in batches: one append a stream is in flight, the rest waits for it.
+Append events in batches, with at most one append per stream in flight.
 
-The log takes several hundred appends a second from all hosts together. What comes
-in while an append is under way goes out with the next one, so the appends of a host
-are bounded by the log's own latency, however many orders there are.
+The log accepts several hundred appends per second from all hosts together. Events that
+arrive during an append are sent with the next one, so a host's append rate is bounded
+by the latency of the log and doesn't grow with the number of orders.
 
-Claims are tried once: their orders have deadlines, and the caller is told at once.
-Outcomes are tried until they are in; a second copy changes nothing in the fold. Nobody
-waits for an outcome, so it lingers for a moment to go out with others or with a claim.
+Claims are tried once, because their orders have deadlines and the caller is told of a
+failure at once. Outcomes are retried until they are appended, and the fold ignores
+duplicates. As nobody waits for an outcome, it is delayed briefly so that it can share
+an append with other events.
 """
 
 import asyncio
@@ -26,7 +27,7 @@
 
 
 class Item(NamedTuple):
-    """Events to append; `fut` takes the result, and is None for lasting ones."""
+    """Events to append. `fut` receives the result; None means retry until appended."""
 
     events: list
     fut: Any
@@ -40,13 +41,13 @@
       append: A coroutine function that takes a stream and bytes.
       stream: The stream's name.
       host: This host's incarnation.
-      rng: A `random.Random`, so that hosts do not all come back at once.
+      rng: A `random.Random` for jitter, so that hosts don't retry simultaneously.
     """
 
-    BYTES_MOST = 200_000
-    LINGER = 0.25
-    PAUSE_LEAST = 0.25
-    PAUSE_MOST = 2.0
+    MAX_BATCH_BYTES = 200_000
+    DELIVER_DELAY = 0.25
+    MIN_PAUSE = 0.25
+    MAX_PAUSE = 2.0
 
     def __init__(self, append, stream, host, rng):
         self.stream = stream
@@ -59,14 +60,14 @@
         self._queue = []
         self._task = None
         self._timer = None
-        self._pause = self.PAUSE_LEAST
-        self._number = 0
-        self._is_taken = False
+        self._pause = self.MIN_PAUSE
+        self._batch_number = 0
+        self._is_batch_confirmed = False
         self._wake = asyncio.Event()
 
     def submit(self, events):
         """
-        Append events once.
+        Queue events for a single append attempt.
 
         Returns:
           A future of a `Success` of the offset or a `Failure` of `StoreError`.
@@ -80,32 +81,32 @@
         return fut
 
     def deliver(self, events):
-        """Append events, and try again until they are in."""
+        """Queue events and retry until they are appended."""
         if events:
             self._queue.append(Item(events, None))
             if self._timer is None:
                 loop = asyncio.get_running_loop()
-                self._timer = loop.call_later(self.LINGER, self._start)
+                self._timer = loop.call_later(self.DELIVER_DELAY, self._start)
 
     def pending(self):
-        """Return how many events are not known to be in the log yet."""
+        """Return the number of events not yet confirmed to be in the log."""
         return sum(len(item.events) for item in self._queue)
 
     async def flush(self, seconds):
         """
-        Wait until everything is in the log.
+        Wait until all queued events are in the log.
 
         Args:
-          seconds: The most seconds to wait.
+          seconds: The maximum time to wait.
         Returns:
-          Whether everything is in.
+          Whether no event is left.
         """
         self._start()
         await asyncio.wait([self._task], timeout=seconds)
         return not self.pending()
 
     def _start(self):
-        """Append what is queued, unless that is under way already."""
+        """Start appending the queued events unless that is already in progress."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -114,8 +115,8 @@
 
     async def _run(self):
         while self._queue:
-            self._number += 1
-            self._is_taken = False
+            self._batch_number += 1
+            self._is_batch_confirmed = False
             self._wake.clear()
             data, count = self._next_batch()
             result = await self._append(self.stream, data)
@@ -124,67 +125,67 @@
             items, self._queue = self._queue[:count], self._queue[count:]
             _resolve(items, result)
             if isinstance(result, Failure):
-                await self._wait_out(items)
+                await self._back_off(items)
             elif self.is_away:
-                log.warning("batch: The log takes appends to %s again.", self.stream)
+                log.warning("batch: The log accepts appends to %s again.", self.stream)
                 self.is_away = False
-                self._pause = self.PAUSE_LEAST
+                self._pause = self.MIN_PAUSE
 
-    async def _wait_out(self, items):
+    async def _back_off(self, items):
         """
-        Keep what must not be lost, refuse the claims that wait, and pause.
+        Requeue the events to retry, refuse the queued claims, and pause.
 
-        While the log is away, orders are refused at once instead of each waiting
-        for a timeout of its own. A ping is tried in their place, so that the host
-        notices when the log is back although it sends no claims.
+        While the log is unavailable, orders are refused at once rather than each
+        waiting for its own timeout. A ping is appended instead, so that the host
+        detects the log's recovery although it sends no claims.
         """
-        lasting = [item for item in items if item.fut is None]
+        to_retry = [item for item in items if item.fut is None]
         _resolve(self._queue, Failure(StoreError.BUSY))
-        self._queue = lasting + [item for item in self._queue if item.fut is None]
+        self._queue = to_retry + [item for item in self._queue if item.fut is None]
         if not self.is_away:
-            log.warning("batch: The log does not take appends to %s.", self.stream)
+            log.warning("batch: The log does not accept appends to %s.", self.stream)
         self.is_away = True
         pause = self._pause * self._rng.uniform(0.7, 1.3)
-        self._pause = min(self.PAUSE_MOST, self._pause * 2)
+        self._pause = min(self.MAX_PAUSE, self._pause * 2)
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._wake.wait(), pause)
-        if self._is_taken:
-            del self._queue[: len(lasting)]
+        if self._is_batch_confirmed:
+            del self._queue[: len(to_retry)]
         if self.is_away and not self._queue:
             self._queue = [Item([], None)]
 
     def note_alive(self):
         """
-        Take note that an append of this host's has come up in the stream.
+        Record that an event appended by this host was read from the stream.
 
-        Its answer may have been lost although the log is well. Then there is no
-        reason to refuse orders.
+        The log accepts appends then, even if the response to one was lost, so orders
+        need not be refused.
         """
         self.is_away = False
-        self._pause = self.PAUSE_LEAST
+        self._pause = self.MIN_PAUSE
         self._wake.set()
 
     def note_ping(self, ping):
         """
-        Take a ping that was read from the stream.
+        Handle a ping that was read from the stream.
 
-        If it is the last batch's, that batch was taken, whatever its append's
-        answer was, and need not be tried again.
+        If it belongs to the last batch, that batch is in the log regardless of the
+        response to its append, and isn't retried.
         """
         if ping.host != self.host:
             return
-        if ping.number == self._number:
-            self._is_taken = True
+        if ping.number == self._batch_number:
+            self._is_batch_confirmed = True
         self.note_alive()
 
     def _next_batch(self):
-        """Return the bytes of the next record and how many items are in it."""
-        events = [Ping(self.host, self._number)] if self.is_away else []
+        """Return the next record's bytes and the number of items in it."""
+        events = [Ping(self.host, self._batch_number)] if self.is_away else []
         size = 0
         count = 0
         for item in self._queue:
             encoded = len(encode_events(item.events))
-            if count and size + encoded > self.BYTES_MOST:
+            if count and size + encoded > self.MAX_BATCH_BYTES:
                 break
             events += item.events
             size += encoded
@@ -193,7 +194,7 @@
 
 
 def _resolve(items, result):
-    """Tell the result to those who wait for one."""
+    """Set the result of the items' futures."""
     for item in items:
         if item.fut is not None and not item.fut.done():
             item.fut.set_result(result)
