--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_keys_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_keys_test.py
@@ -212,7 +212,7 @@
     and nobody comes again after a 401. It may say so only when it knows what the store
     says; else it asks the caller to come again. Keys that it knows are served on.
     """
-    monkeypatch.setattr(feed, "PAUSE_MOST", 0.2)
+    monkeypatch.setattr(feed, "MAX_RETRY_DELAY", 0.2)
     async with Trial(services=("look",), apply=0.6) as trial:
         await _publish_and_wait(trial, 2)
         trial.store.fault = Fault.BUSY
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_test.py
@@ -409,8 +409,8 @@
     publish a version, which must be in force soon after the store is back. A silent
     store holds on to reads that wait already, so their time must be over first.
     """
-    monkeypatch.setattr(feed, "WAIT_LEAST", 1.0)
-    monkeypatch.setattr(feed, "WAIT_MOST", 2.0)
+    monkeypatch.setattr(feed, "MIN_READ_WAIT", 1.0)
+    monkeypatch.setattr(feed, "MAX_READ_WAIT", 2.0)
     async with Trial(services=("look",)) as trial:
         trial.store.fault = fault
         trial.store.put(OPERATOR, "config", configuration(2))
