--- a/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
@@ -26,17 +26,21 @@
 FAILING_SLOW_RATE = 0.45
 MAX_HEALTHY_RATE = 0.5
 HEALTHY_RATE_MARGIN = 1.5
-# In signals per target.
+# Half-life of the counts that rates are estimated from, in signals per target.
 RATE_HALF_LIFE = 10.0
+# Hosts that must contribute for a target to reach its threshold.
 MIN_OBSERVERS = 3
+# Seconds for which signals count as recent.
 RECENT_WINDOW = 10.0
-MIN_SCORE_TO_SHARE = 0.2
-MAX_DATA_CENTRE_SHARE = 0.6
+MIN_SUSPECT_SCORE = 0.2
+# The most that one data centre contributes, as a fraction of the threshold.
+MAX_DATA_CENTRE_FRACTION = 0.6
+# Half-life of `PathSum`, in seconds.
 PATH_HALF_LIFE = 15.0
 OUTLIER_FACTOR = 2.0
-MAX_BAD_LAST = 2
-CONFIRM_SIGNALS = 2.0
-CONFIRM_SECONDS = 1.0
+MAX_TRAILING_BAD = 2
+CONFIRMATION_SIGNALS_PER_TARGET = 2.0
+CONFIRMATION_SECONDS = 1.0
 OUTLIER_MARGIN = 0.2
 
 # Thresholds of the sums, as natural logarithms of likelihood ratios. A healthy target
@@ -48,7 +52,7 @@
 
 
 class Counts(NamedTuple):
-    """The number of signals of each kind that a reporter has seen of a target."""
+    """The number of signals of each kind that a reporter has seen from a target."""
 
     good: int = 0
     slow: int = 0
@@ -72,8 +76,8 @@
     """
     How strongly a target is suspected, in units of the threshold.
 
-    `own` is the score of this host's path to the target, and `observers` the number of
-    hosts whose signals count against it.
+    `own` is the score of this host's path to the target, and `observers` is the number
+    of hosts whose signals count against the target.
     """
 
     total: float
@@ -82,7 +86,7 @@
 
 
 class CumulativeSum:
-    """A cumulative sum, kept by reporter so that each contribution can be capped."""
+    """A CUSUM statistic, kept by reporter so that each contribution can be capped."""
 
     def __init__(self):
         self.by_reporter = {}
@@ -110,7 +114,7 @@
     A decaying sum of this host's own signals about its path to a target.
 
     Good signals of other hosts do not reduce it, since they use other paths. It decays
-    with time, so that a path that is no longer used is eventually tried again.
+    with time, so that a path that is no longer used is eventually retried.
     """
 
     def __init__(self):
@@ -137,19 +141,19 @@
 
     def __init__(self):
         self.good = self.slow = self.failed = 0.0
-        self.decayed_at = 0.0
+        self.decayed_at_count = 0.0
 
-    def decay(self, clock, half_life):
-        """Decay the counts up to a reading of the service's signal clock."""
-        if clock > self.decayed_at:
-            factor = 0.5 ** ((clock - self.decayed_at) / half_life)
+    def decay(self, signal_count, half_life):
+        """Decay the counts to the given number of signals of the service."""
+        if signal_count > self.decayed_at_count:
+            factor = 0.5 ** ((signal_count - self.decayed_at_count) / half_life)
             self.good *= factor
             self.slow *= factor
             self.failed *= factor
-            self.decayed_at = clock
+            self.decayed_at_count = signal_count
 
     def add(self, counts):
-        """Add counts; `decay` must have been called for the same clock."""
+        """Add counts; call `decay` first."""
         self.good += counts.good
         self.slow += counts.slow
         self.failed += counts.failed
@@ -185,11 +189,11 @@
         self.own = own
         self.data_centre_of = data_centre_of
         self.threshold = THRESHOLDS[tradeoff]
-        self.data_centre_cap = self.threshold * MAX_DATA_CENTRE_SHARE
+        self.data_centre_cap = self.threshold * MAX_DATA_CENTRE_FRACTION
         self.views = {}
         self.decayed = DecayedCounts()
-        self._clock = 0.0
-        self._last_heard_at = {}
+        self._signal_count = 0.0
+        self._last_signal_at = {}
 
     def note_signal(self, target, signal, now):
         """
@@ -198,11 +202,11 @@
         Args:
           target: The target's key.
           signal: A `HealthSignal`.
-          now: The present, in seconds.
+          now: The current time in seconds.
         """
         counts = self._view(target).counts.get(self.own, NO_SIGNALS)
-        grown = counts._replace(**{signal.value: getattr(counts, signal.value) + 1})
-        self._merge_row(Row(self.own, target, *grown), now)
+        updated = counts._replace(**{signal.value: getattr(counts, signal.value) + 1})
+        self._merge_row(Row(self.own, target, *updated), now)
 
     def merge(self, rows, now):
         """
@@ -210,16 +214,16 @@
 
         Args:
           rows: A list of `Row`; this host's own rows are ignored.
-          now: The present, in seconds.
+          now: The current time in seconds.
         Returns:
-          Whether there are new bad signals of a suspect target, which should be passed
-          on at once.
+          Whether there are new bad signals of a suspect target, which should be sent to
+          other hosts at once.
         """
-        has_bad_news = False
+        has_new_bad_signals = False
         for row in rows:
             if row.reporter != self.own:
-                has_bad_news = self._merge_row(row, now) or has_bad_news
-        return has_bad_news
+                has_new_bad_signals = self._merge_row(row, now) or has_new_bad_signals
+        return has_new_bad_signals
 
     def _view(self, target):
         view = self.views.get(target)
@@ -228,7 +232,7 @@
         return view
 
     def _merge_row(self, row, now):
-        """Merge a row, and return whether it has bad signals of a suspect target."""
+        """Merge a row; return whether it has new bad signals of a suspect target."""
         view = self._view(row.target)
         old = view.counts.get(row.reporter, NO_SIGNALS)
         # Fast path: most rows received are already known.
@@ -244,12 +248,12 @@
         )
         view.counts[row.reporter] = new
         view.changed_at[row.reporter] = now
-        self._last_heard_at[row.reporter] = now
+        self._last_signal_at[row.reporter] = now
         self._update_sums(row.reporter, row.target, view, delta, now)
         self._decay(view)
         view.decayed.add(delta)
         self.decayed.add(delta)
-        self._clock += sum(delta)
+        self._signal_count += sum(delta)
         if delta.good and row.reporter != self.own:
             view.last_remote_good_at = now
         if not delta.failed and not delta.slow:
@@ -258,21 +262,21 @@
         return self.is_suspect(row.target, now)
 
     def _update_sums(self, reporter, target, view, delta, now):
-        """Add a reporter's new signals to the sums."""
-        fail_healthy, slow_healthy = self._healthy_rates(target)
+        """Add the log-likelihood ratios of a reporter's new signals to the sums."""
+        healthy_failure_rate, healthy_slow_rate = self._healthy_rates(target)
         # A slow attempt counts as neither a success nor a failure, so that a failure
         # after it weighs as much as an immediate one.
         failures = _log_ratios(
             delta.failed,
             delta.good,
-            fail_healthy,
-            _failing_rate(fail_healthy, FAILING_FAILURE_RATE),
+            healthy_failure_rate,
+            _failing_rate(healthy_failure_rate, FAILING_FAILURE_RATE),
         )
         slowness = _log_ratios(
             delta.slow + delta.failed,
             delta.good,
-            slow_healthy,
-            _failing_rate(slow_healthy, FAILING_SLOW_RATE),
+            healthy_slow_rate,
+            _failing_rate(healthy_slow_rate, FAILING_SLOW_RATE),
         )
 
         def capped_total(by_reporter):
@@ -293,17 +297,19 @@
 
         A host with a faulty network card, or a data centre that is cut off, sees
         failures of healthy targets. So the contribution of each host is capped, and
-        that of each data centre if hosts in several ones use the target. If fewer than
-        `MIN_OBSERVERS` hosts report on the service, their agreement is enough, so that
-        a small fleet can eject targets too.
+        that of each data centre if hosts of several data centres use the target. If
+        fewer than `MIN_OBSERVERS` hosts report on the service, the cap per host is
+        raised, so that a small fleet can eject targets too.
         """
         observers = [r for r, at in view.changed_at.items() if now - at < RECENT_WINDOW]
-        heard = sum(now - at < RECENT_WINDOW for at in self._last_heard_at.values())
-        needed = max(1, min(MIN_OBSERVERS, heard))
+        reporter_count = sum(
+            now - at < RECENT_WINDOW for at in self._last_signal_at.values()
+        )
+        required_observers = max(1, min(MIN_OBSERVERS, reporter_count))
         by_data_centre = {}
         for reporter, amount in by_reporter.items():
             data_centre = self.data_centre_of(reporter)
-            capped = min(amount, self.threshold / needed)
+            capped = min(amount, self.threshold / required_observers)
             by_data_centre[data_centre] = by_data_centre.get(data_centre, 0.0) + capped
         if len({self.data_centre_of(reporter) for reporter in observers}) < 2:
             return sum(by_data_centre.values())
@@ -314,14 +320,15 @@
     def _decay(self, view):
         """Decay the counts of a target and of the whole service."""
         half_life = RATE_HALF_LIFE * max(1, len(self.views))
-        view.decayed.decay(self._clock, half_life)
-        self.decayed.decay(self._clock, half_life)
+        view.decayed.decay(self._signal_count, half_life)
+        self.decayed.decay(self._signal_count, half_life)
 
     def _healthy_rates(self, target):
         """
-        Return the failure and slowness rates of the service's other targets.
+        Return the failure and slowness rates assumed for a healthy target.
 
-        If a dependency fails, all targets do, and none of them must be ejected for it.
+        They are estimated from the service's other targets: if a shared dependency
+        fails, all targets fail, and none of them must be ejected for it.
         """
         view = self._view(target)
         self._decay(view)
@@ -341,19 +348,19 @@
 
     def is_suspect(self, target, now):
         """
-        Return whether the evidence against a target should be passed on.
+        Return whether all hosts' evidence against a target should be forwarded.
 
-        Occasional slow signals of healthy targets are not, to bound the size of the
-        exchange between hosts.
+        Occasional slow signals of healthy targets are not forwarded, to bound the size
+        of the messages between hosts.
         """
-        return self.score(target, now).total >= MIN_SCORE_TO_SHARE
+        return self.score(target, now).total >= MIN_SUSPECT_SCORE
 
     def score(self, target, now):
         """Return the `Score` of a target, from the higher of its two sums."""
         view = self.views.get(target)
         if view is None:
             return Score(0.0, 0.0, 0)
-        worse = max(
+        worse_sum = max(
             (
                 self._capped_total(view, cumulative.by_reporter, now),
                 cumulative.observer_count(),
@@ -361,7 +368,7 @@
             for cumulative in (view.failures, view.slowness)
         )
         own = view.path.value(now) / self.threshold
-        return Score(worse[0] / self.threshold, own, worse[1])
+        return Score(worse_sum[0] / self.threshold, own, worse_sum[1])
 
     def is_outlier(self, target, now):
         """
@@ -369,11 +376,12 @@
 
         When a whole service slows down or loses a dependency, single targets cross the
         threshold before the healthy rates have adapted. So a target must also be worse
-        than the median of the others, for as long as they need to show the same fault.
+        than the median of the others, for long enough that a shared fault would show in
+        them as well.
 
         Args:
           target: The target's key.
-          now: The present, in seconds.
+          now: The current time in seconds.
         """
         view = self.views.get(target)
         if view is None or not self._is_worse_than_median(target, view):
@@ -382,16 +390,19 @@
             view.outlier_since = None
             return False
         if view.outlier_since is None:
-            view.outlier_since = (self._clock, now)
-        clock, since = view.outlier_since
-        has_clock = self._clock - clock >= CONFIRM_SIGNALS * len(self.views)
-        return has_clock or now - since >= CONFIRM_SECONDS
+            view.outlier_since = (self._signal_count, now)
+        signal_count, since = view.outlier_since
+        has_enough_signals = (
+            self._signal_count - signal_count
+            >= CONFIRMATION_SIGNALS_PER_TARGET * len(self.views)
+        )
+        return has_enough_signals or now - since >= CONFIRMATION_SECONDS
 
     def _is_worse_than_median(self, target, view):
         self._decay(view)
-        own = _bad_share(view.decayed)
+        own = _bad_fraction(view.decayed)
         others = [
-            _bad_share(other.decayed)
+            _bad_fraction(other.decayed)
             for key, other in self.views.items()
             if key != target
         ]
@@ -399,7 +410,7 @@
         return own >= max(OUTLIER_FACTOR * median, median + OUTLIER_MARGIN)
 
     def clear(self, target):
-        """Reset the sums of a target that gets another chance."""
+        """Reset the sums of a target when it is ejected, probed or readmitted."""
         view = self._view(target)
         view.failures.by_reporter.clear()
         view.slowness.by_reporter.clear()
@@ -420,7 +431,7 @@
         one.
 
         Args:
-          now: The present, in seconds.
+          now: The current time in seconds.
           max_rows: The maximum number of rows to return.
         Returns:
           A list of `Row`.
@@ -432,7 +443,7 @@
                 if now - view.last_bad_at < RECENT_WINDOW
                 else 0.0
             )
-            reporters = view.changed_at if score >= MIN_SCORE_TO_SHARE else (self.own,)
+            reporters = view.changed_at if score >= MIN_SUSPECT_SCORE else (self.own,)
             newest = sorted(
                 (-view.changed_at[reporter], reporter)
                 for reporter in reporters
@@ -445,8 +456,8 @@
         return [row for *_, row in ranked[:max_rows]]
 
 
-def _bad_share(counts):
-    """Return the share of bad signals in decayed counts."""
+def _bad_fraction(counts):
+    """Return the fraction of bad signals in decayed counts."""
     bad = counts.slow + counts.failed
     total = bad + counts.good
     return bad / total if total > 0 else 0.0
@@ -459,11 +470,10 @@
 
 def _log_ratios(bad, good, healthy, failing):
     """
-    Return the log-likelihood ratios of signals: failing against healthy.
+    Return the log-likelihood ratios of signals, failing against healthy.
 
-    Signals that arrive in one row have lost their order, and the good ones among them
-    could hide that the latest are bad. So up to `MAX_BAD_LAST` of the bad ones are
-    assumed to be the latest.
+    The order of the signals in a row is unknown, and good ones could hide that the
+    latest are bad. So up to `MAX_TRAILING_BAD` bad ones are assumed to be the latest.
 
     Args:
       bad: The number of bad signals.
@@ -475,5 +485,5 @@
     """
     per_bad = math.log(failing / healthy)
     per_good = math.log((1 - failing) / (1 - healthy))
-    last = min(bad, MAX_BAD_LAST)
-    return (bad - last) * per_bad + good * per_good, last * per_bad
+    trailing_bad = min(bad, MAX_TRAILING_BAD)
+    return (bad - trailing_bad) * per_bad + good * per_good, trailing_bad * per_bad
