--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas.py
@@ -30,15 +30,15 @@
 # Demand samples kept per workspace, taken once a second. The oldest predates any
 # partition that has just been detected.
 MAX_SAMPLES = 3
-# Messages in which a changed row is sent, since datagrams may be lost.
+# Messages that repeat a changed row, since datagrams may be dropped.
 SENDS_PER_CHANGE = 2
 # A data centre reports a workspace to the others if its local demand is at least this
 # fraction of the workspace's rate divided by the number of data centres.
 NEAR_LIMIT_FRACTION = 0.2
-# Maximum rows per message; the others are sent with the next one.
+# Maximum rows per message; the others are sent in later messages.
 MAX_ROWS = 200
 # Seconds without requests after which the state of a workspace is evicted. By then its
-# window is over and its sums have decayed.
+# rate-limit window has passed and its sums have decayed.
 IDLE_TIMEOUT = 15.0
 
 
@@ -89,8 +89,8 @@
 
     def add_sample(self, now):
         """Record a sample of the current demand."""
-        everywhere = self.local.requested(now) + self.remote.requested(now)
-        self.samples.append((self.own.requested(now), everywhere))
+        all_requested = self.local.requested(now) + self.remote.requested(now)
+        self.samples.append((self.own.requested(now), all_requested))
 
 
 class Quotas:
@@ -133,9 +133,9 @@
         for tag in self._states.keys() - self._limits.keys():
             self._evict(tag)
         for tag, state in self._states.items():
-            state.meter.set_limit(*self._limit_of(tag))
+            state.meter.set_limit(*self._get_limit(tag))
 
-    def _limit_of(self, tag):
+    def _get_limit(self, tag):
         workspace = self._limits[tag]
         rate, burst = workspace.rate, workspace.burst
         return rate, window_capacity(rate, burst, self._tolerance)
@@ -168,7 +168,7 @@
         demand = self._demand(state, now)
         probability = state.meter.admission_probability(share, demand, now)
         is_admitted = probability >= 1.0 or self._rng.random() < probability
-        self._count(tag, state, 1.0, float(is_admitted), now)
+        self._count_own(tag, state, 1.0, float(is_admitted), now)
         if is_admitted:
             return ADMITTED
         return QuotaDecision(
@@ -191,37 +191,37 @@
         return state.meter.demand(now)
 
     def release(self, workspace, now):
-        """Release an admitted request that was not run and never will be."""
+        """Take back the count of an admitted request that will never be run."""
         if workspace is None or workspace.rate <= 0:
             return
         tag = workspace_tag(workspace.name)
         state = self._get_state(tag, now)
         if state is not None:
-            self._count(tag, state, 0.0, -1.0, now)
+            self._count_own(tag, state, 0.0, -1.0, now)
 
     def _get_state(self, tag, now):
         """Return the `_WorkspaceState` of a workspace, or None if it has no limit."""
         state = self._states.get(tag)
         if state is None and tag in self._limits:
             window = self._tolerance.window
-            meter = Meter(*self._limit_of(tag), window, self._started_at, now)
+            meter = Meter(*self._get_limit(tag), window, self._started_at, now)
             state = self._states[tag] = _WorkspaceState(meter)
         if state is not None:
             self._last_used_at[tag] = now
         return state
 
     def _evict(self, tag):
-        for table in (
+        for by_tag in (
             self._states,
             self._last_used_at,
             self._local_pending,
             self._remote_pending,
         ):
-            table.pop(tag, None)
+            by_tag.pop(tag, None)
         for source in self._liveness.sources():
             source.received.evict(tag)
 
-    def _count(self, tag, state, requested, admitted, now):
+    def _count_own(self, tag, state, requested, admitted, now):
         """Count requests to this host."""
         state.own.add(requested, admitted, now)
         self._local_pending[tag] = SENDS_PER_CHANGE
@@ -245,7 +245,7 @@
 
     def local_rows(self, now):
         """Return the `QuotaRow`s for a message to the hosts of the data centre."""
-        pending = self._take_pending(self._local_pending)
+        pending = self._next_pending(self._local_pending)
         return [state.own.row(tag, now) for tag, state in pending]
 
     def remote_rows(self, now):
@@ -253,7 +253,7 @@
         for tag in list(self._remote_pending):
             if not self._is_near_limit(self._states[tag], now):
                 del self._remote_pending[tag]
-        pending = self._take_pending(self._remote_pending)
+        pending = self._next_pending(self._remote_pending)
         return [state.local.row(tag, now) for tag, state in pending]
 
     def _is_near_limit(self, state, now):
@@ -262,8 +262,8 @@
             demand >= NEAR_LIMIT_FRACTION * state.meter.rate / self._data_centre_count
         )
 
-    def _take_pending(self, pending):
-        """Return the tags and states for the next message."""
+    def _next_pending(self, pending):
+        """Return the tags and states of the rows of the next message."""
         tags = list(pending)[:MAX_ROWS]
         for tag in tags:
             pending[tag] -= 1
@@ -272,7 +272,7 @@
         return [(tag, self._states[tag]) for tag in tags]
 
     def local_hosts(self):
-        """Return the `HostCount` of this data centre, for the other data centres."""
+        """Return the `HostCount` that this data centre reports to the others."""
         return self._liveness.local_hosts()
 
     # Receiving.
@@ -296,7 +296,7 @@
 
     def merge_remote(self, data_centre, hosts, rows, now):
         """
-        Merge a report for another data centre; two hosts may report for it at once.
+        Merge a report from another data centre; two of its hosts may report at once.
 
         Args:
           data_centre: The `DataCentre`.
@@ -345,14 +345,14 @@
         return state.reachable_share
 
     def _count_unreported(self, state, share, now):
-        """Count what lost hosts are estimated to have admitted until the detection."""
+        """Count the estimated admissions of unreachable hosts until the detection."""
         if share <= 0.0:
             return
         meter = state.meter
         demand = meter.demand(now)
         admitted = demand * ISOLATION_TIMEOUT
         if not self._liveness.is_isolated:
-            # After that time they detected that they were isolated.
+            # Later they detect their isolation and enforce their share of the limit.
             isolated_for = max(0.0, self._liveness.detection_delay - ISOLATION_TIMEOUT)
             admitted += min(meter.rate, demand) * isolated_for
         meter.note_admitted(share * admitted, now)
@@ -361,20 +361,20 @@
         liveness = self._liveness
         if liveness.is_fully_reachable:
             return 1.0
-        own, everywhere = state.samples[0] if state.samples else (0.0, 0.0)
+        own, all_requested = state.samples[0] if state.samples else (0.0, 0.0)
         hosts = liveness.host_count()
-        equal = EQUAL_FRACTION * state.meter.rate * DECAY_TIME / hosts
-        total = max(everywhere, own) + equal * hosts
+        equal_part = EQUAL_FRACTION * state.meter.rate * DECAY_TIME / hosts
+        total = max(all_requested, own) + equal_part * hosts
         if liveness.is_isolated:
-            return (own + equal) / total
-        lost = sum(
+            return (own + equal_part) / total
+        unreachable_requested = sum(
             source.received.requested(tag, source.last_message_at)
-            + equal * sum(source.hosts)
+            + equal_part * sum(source.hosts)
             for source in liveness.unreachable()
         )
         # Other data centres report only the number of their unreachable hosts.
-        lost += total * liveness.remote_unreachable / hosts
-        return max(own + equal, total - lost) / total
+        unreachable_requested += total * liveness.remote_unreachable / hosts
+        return max(own + equal_part, total - unreachable_requested) / total
 
 
 def _merge_row(state, source, row, now, is_partial=False):
