--- a/packages/plumsaddle-core/plumsaddle_core/ops/marks.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/marks.py
@@ -2,14 +2,15 @@
 Tracks which targets are draining.
 
 A mark comes from the platform's list or from the target itself, and hosts exchange
-marks with their remaining lifetimes. Only the source renews a mark, not its exchange,
-so that it expires once the source no longer reports it.
+marks with their remaining lifetimes. Only the source of a mark extends its lifetime, so
+it expires once the source no longer reports it.
 """
 
 from typing import NamedTuple
 
 from ..core.ids import TargetKey
 
+# Lifetimes of marks by source, in seconds.
 SELF_REPORT_TTL = 300.0
 LISTED_TTL = 60.0
 
@@ -39,9 +40,9 @@
 
         Args:
           marks: A list of `Mark`.
-          now: The present, in seconds.
+          now: The current time in seconds.
         Returns:
-          Whether a target was not marked before.
+          Whether any of the targets was not marked before.
         """
         current = self.targets(now)
         for mark in marks:
@@ -54,7 +55,7 @@
         return set(self._expires_at)
 
     def marks_to_send(self, now, max_marks):
-        """Return the marks to send to another host, the longest-lived first."""
+        """Return the marks to send to another host, the latest expiry first."""
         marks = [
             Mark(key, at - now) for key, at in self._expires_at.items() if at > now
         ]
