--- a/packages/plumsaddle-core/plumsaddle_core/ops/versions.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/versions.py
@@ -1,14 +1,13 @@
 """
-Which version of the configuration is in force.
+Decides which version of the configuration is in force.
 
 A proposal names the version that it replaces (a compare-and-set). It is accepted if and
 only if that version is in force at the proposal's place in the log, so of two
-concurrent proposals the first in the log wins. The rule depends on nothing but version
-numbers and log order, not on clocks, the text or the release of the host, so hosts on
-different releases agree.
+concurrent proposals the first in the log wins. The rule depends only on version numbers
+and log order, so that hosts on different software releases agree.
 
 An accepted version's number is its base plus one. Numbers only grow, so a record that
-is read twice or late cannot revert to an older version.
+is read twice or late cannot restore an older version.
 """
 
 from typing import NamedTuple
@@ -18,7 +17,7 @@
 
 
 class Proposal(NamedTuple):
-    """An operator's request to replace the version `base` by a new text."""
+    """An operator's request to replace version `base` with a new text."""
 
     id: str
     base: VersionNumber
@@ -77,7 +76,7 @@
       proposal: A `Proposal`; events of other kinds are ignored.
       offset: The offset of the proposal's record, which is not used.
     """
-    del offset  # The calls are in log order already.
+    del offset  # Calls are already in log order.
     if not isinstance(proposal, Proposal):
         return
     if proposal.base != versions.current.number:
