--- a/packages/plumsaddle-core/plumsaddle_core/ops/signs.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/signs.py
@@ -2,8 +2,8 @@
 Derives health signals from the result of an attempt, or from its age so far.
 
 Signals come from real requests, since health endpoints may answer while requests fail.
-Shed requests and disconnected callers give no signal. The duration of uploads depends
-on their callers, so it is ignored.
+Shed requests and disconnected callers give no signal. The duration of an upload depends
+on its caller, so it is ignored.
 """
 
 from ..core.data import FailureKind, HealthSignal, RequestKind
@@ -44,7 +44,7 @@
     """
     Return the signal of an unfinished attempt.
 
-    It detects a stalled target before its requests reach their deadlines.
+    This detects a stalled target before its requests reach their deadlines.
 
     Args:
       kind: The request's `RequestKind`.
@@ -63,5 +63,5 @@
 
 def _is_slow(kind, seconds, latency):
     slow_after = latency.slow_after()
-    is_compared = kind is not RequestKind.UPLOAD
-    return is_compared and slow_after is not None and seconds > slow_after
+    has_comparable_duration = kind is not RequestKind.UPLOAD
+    return has_comparable_duration and slow_after is not None and seconds > slow_after
