--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/store.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/store.py
@@ -45,7 +45,7 @@
     """Why a call gave no usable answer."""
 
     BUSY = "busy"
-    UNREACHED = "unreached"
+    UNREACHABLE = "unreached"
     AWAY = "away"
     TRIMMED = "trimmed"
     UNREADABLE = "unreadable"
@@ -53,7 +53,7 @@
     @property
     def is_undone(self):
         """Whether it is certain that the call did nothing and never will."""
-        return self in (StoreError.BUSY, StoreError.UNREACHED)
+        return self in (StoreError.BUSY, StoreError.UNREACHABLE)
 
     @property
     def is_away(self):
@@ -277,7 +277,7 @@
             ) as resp:
                 data = await resp.read()
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
-            return Failure(StoreError.UNREACHED)
+            return Failure(StoreError.UNREACHABLE)
         except (TimeoutError, aiohttp.ClientError, OSError):
             return Failure(StoreError.AWAY)
         if resp.status == 200:
