--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
@@ -332,7 +332,7 @@
                 raise
             if self._is_read_abandoned:
                 return None
-            return Failure(StoreError.AWAY)
+            return Failure(StoreError.UNAVAILABLE)
         finally:
             self._read_task = None
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
@@ -122,7 +122,7 @@
         topic_feed, _ = _make_feed(store, events)
         task = asyncio.ensure_future(topic_feed.run())
         await _run_ready_tasks()
-        for error in (StoreError.AWAY, StoreError.BUSY, StoreError.UNREACHABLE):
+        for error in (StoreError.UNAVAILABLE, StoreError.BUSY, StoreError.UNREACHABLE):
             store.answers.put_nowait(Failure(error))
         await asyncio.sleep(0.05)
         assert events == ["away"]
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored_test.py
@@ -62,7 +62,7 @@
     """Guards against records that are lost while the store is unavailable."""
 
     async def run():
-        stored, suspects, store = _make(Failure(StoreError.AWAY), Success(b""))
+        stored, suspects, store = _make(Failure(StoreError.UNAVAILABLE), Success(b""))
         for incarnation in ("a", "b"):
             suspects.add(RunRecord("k", incarnation, True), now(), is_own=True)
         for _ in range(4):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/store.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/store.py
@@ -46,7 +46,7 @@
 
     BUSY = "busy"
     UNREACHABLE = "unreached"
-    AWAY = "away"
+    UNAVAILABLE = "away"
     TRIMMED = "trimmed"
     UNREADABLE = "unreadable"
 
@@ -279,14 +279,14 @@
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
             return Failure(StoreError.UNREACHABLE)
         except (TimeoutError, aiohttp.ClientError, OSError):
-            return Failure(StoreError.AWAY)
+            return Failure(StoreError.UNAVAILABLE)
         if resp.status == 200:
             return Success(data)
         if resp.status == 410:
             return Failure(_decode_trimmed(data))
         # Only these say that nothing was done; of another failure nobody knows.
         is_undone = resp.status in (429, 503, 507)
-        return Failure(StoreError.BUSY if is_undone else StoreError.AWAY)
+        return Failure(StoreError.BUSY if is_undone else StoreError.UNAVAILABLE)
 
 
 def make_session():
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/scripts/held_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/scripts/held_test.py
@@ -66,7 +66,7 @@
 
 
 def test_release_says_when_it_is_not_known_whether_it_was_done(store, capsys):
-    store.answer = Failure(StoreError.AWAY)
+    store.answer = Failure(StoreError.UNAVAILABLE)
     module.release("k1")
     assert store.code == NO_ANSWER
     assert "Not known" in capsys.readouterr().out
