--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/store.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/store.py
@@ -1,12 +1,12 @@
 """
-The calls of the platform's store that hosts and operators use, over HTTP.
+HTTP client of the platform's store, used by hosts and operators' tools.
 
-The store is a log with topics. A keyed topic also keeps the newest record of each key
-for ever, so a host lists that once and then follows the log from where the listing
+The store is a log with topics. A keyed topic also keeps the newest record of each key,
+so a host lists those once and then reads the log from the offset at which the listing
 began. Plumsaddle's own interface keeps its streams in plain topics, one partition each.
 
-Each call has a time-out, and the sockets send keep-alive probes: a connection can go
-silent for good without being reset, and a waiting read would hang on it.
+Each call has a timeout, and the sockets send keep-alive probes, because a long poll
+would otherwise hang on a connection that was lost without a reset.
 """
 
 import base64
@@ -23,26 +23,23 @@
 
 from . import wire
 
-# In seconds. The store is a millisecond away, so a second packet has time to come.
+# In seconds; long enough for one retransmission of a lost packet.
 CONNECT_TIMEOUT = 0.8
-# Answers take a few milliseconds, and some tens of times as long when the store is
-# slow; after this a call counts as lost.
+# In seconds, without the time that a read waits for records.
 CALL_TIMEOUT = 1.5
-# Probes after one idle second, and the connection is given up after two more. The
-# tightest bound on what a host must know is two seconds from a change, counted for
-# hosts that have been in contact for three.
+# In seconds. A dead connection is closed after three seconds: the bounds on how soon a
+# host applies a change count only for hosts that reached the store for that long.
 KEEP_ALIVE_IDLE = 1
-KEEP_ALIVE_EVERY = 1
+KEEP_ALIVE_INTERVAL = 1
 KEEP_ALIVE_COUNT = 2
 PAGE_PREFIX = struct.Struct(">QQ")
 RECORD_PREFIX = struct.Struct(">I")
-# Where an installation of plumsaddle's own interface lists its entry hosts, in the
-# form in which the platform lists targets.
+# Lists the entry hosts of plumsaddle's own interface, encoded as targets are.
 HOSTS_TOPIC = "keyed.hosts"
 
 
 class StoreError(enum.Enum):
-    """Why a call gave no usable answer."""
+    """Why a call gave no usable response."""
 
     BUSY = "busy"
     UNREACHABLE = "unreached"
@@ -52,12 +49,12 @@
 
     @property
     def is_undone(self):
-        """Whether it is certain that the call did nothing and never will."""
+        """Whether the call certainly has no effect, now or later."""
         return self in (StoreError.BUSY, StoreError.UNREACHABLE)
 
     @property
     def is_away(self):
-        """Whether the store gave no answer that it stands behind."""
+        """Whether the store was unavailable, rather than gave a definite response."""
         return self not in (StoreError.TRIMMED, StoreError.UNREADABLE)
 
 
@@ -69,7 +66,7 @@
 
 
 class LogPage(NamedTuple):
-    """A part of a plain topic, and the first and next offsets of the whole."""
+    """Records of a plain topic, and the first and next offsets of the whole topic."""
 
     first: int
     next: int
@@ -77,7 +74,7 @@
 
 
 class Trimmed(NamedTuple):
-    """The records asked for were deleted; `first` is the oldest offset left."""
+    """The requested records were deleted; `first` is the oldest remaining offset."""
 
     first: int
 
@@ -92,7 +89,7 @@
 
 
 class KeyedRecord(NamedTuple):
-    """A record of a keyed topic; `value` is None where the key was dropped."""
+    """A record of a keyed topic; `value` is None if the key was deleted."""
 
     offset: int
     key: str
@@ -100,7 +97,7 @@
 
 
 class Page(NamedTuple):
-    """Records, and the offset at which to read on."""
+    """Records of a keyed topic, and the offset of the next read."""
 
     records: list[KeyedRecord]
     next_offset: int
@@ -108,12 +105,12 @@
 
 class Store:
     """
-    The platform's store as one host sees it.
+    A client of the platform's store.
 
     Args:
-      session: An `aiohttp.ClientSession`, best one of `make_session`.
+      session: An `aiohttp.ClientSession`, preferably from `make_session`.
       url: The store's URL.
-      append_timeout: Seconds after which an append's answer counts as lost.
+      append_timeout: The timeout of an append, in seconds.
     """
 
     def __init__(self, session, url, append_timeout=CALL_TIMEOUT):
@@ -130,7 +127,7 @@
           data: The record's bytes.
         Returns:
           A `Success` of the offset, or a `Failure` of a `StoreError`. Unless the
-          error `is_undone`, the record may stand in the log, now or later.
+          error `is_undone`, the record may be in the log or still be added.
         """
         result = await self._append(topic, [data])
         if isinstance(result, Failure):
@@ -142,13 +139,13 @@
 
     async def put(self, topic, values):
         """
-        Write keys of a keyed topic in one call, all or none.
+        Write keys of a keyed topic in one atomic call.
 
         Args:
           topic: The topic's name.
-          values: The bytes by key; empty ones drop the key.
+          values: The bytes by key; empty bytes delete the key.
         Returns:
-          A `Success`, or a `Failure` of a `StoreError` as of `append`.
+          A `Success`, or a `Failure` of a `StoreError` as for `append`.
         """
         records = []
         for key, value in values.items():
@@ -157,7 +154,7 @@
         return await self._append(topic, records)
 
     async def _append(self, topic, records):
-        """Return a `Success` of an append's answer as bytes, or a `Failure`."""
+        """Return a `Success` of the response body, or a `Failure`."""
         query = {"topic": topic, "part": "0"}
         body = b"".join(RECORD_PREFIX.pack(len(data)) + data for data in records)
         return await self._call(
@@ -166,12 +163,12 @@
 
     async def read_log(self, topic, offset, wait):
         """
-        Read a plain topic from an offset on, or from the oldest record left.
+        Read a plain topic from an offset, or from the oldest remaining record.
 
         Args:
           topic: The topic's name.
-          offset: The first offset wanted.
-          wait: The most seconds to wait until there is a record.
+          offset: The offset of the first record to return.
+          wait: The maximum number of seconds to wait for a record.
         Returns:
           A `Success` of a `LogPage`, or a `Failure` of a `StoreError`.
         """
@@ -180,10 +177,12 @@
             offset = result.failure().first
             result = await self._read_raw(topic, offset, 0)
         if isinstance(result, Failure):
-            return _without_first(result)
+            return _as_store_error(result)
         try:
             end, first = PAGE_PREFIX.unpack_from(result.unwrap())
-            records = [LogRecord(*row) for row in _split(result.unwrap(), offset)]
+            records = [
+                LogRecord(*row) for row in _split_records(result.unwrap(), offset)
+            ]
         except struct.error:
             return Failure(StoreError.UNREADABLE)
         return Success(LogPage(first, end, records))
@@ -210,9 +209,9 @@
         Args:
           topic: The topic's name.
         Returns:
-          A `Success` of a `Page` to read on from, or a `Failure` of a `StoreError`.
-          The pages of a long listing are not one snapshot, so reading on starts where
-          the log ended when the first of them was made.
+          A `Success` of a `Page`, or a `Failure` of a `StoreError`. The pages of a long
+          listing are no consistent snapshot, so the next read starts at the end of
+          the log as of the first page.
         """
         records = []
         next_offset = None
@@ -235,25 +234,25 @@
 
     async def read(self, topic, offset, wait):
         """
-        Read a keyed topic from an offset on.
+        Read a keyed topic from an offset.
 
         Args:
           topic: The topic's name.
-          offset: The first offset wanted.
-          wait: The most seconds to wait until there is a record.
+          offset: The offset of the first record to return.
+          wait: The maximum number of seconds to wait for a record.
         Returns:
           A `Success` of a `Page`, or a `Failure` of a `StoreError`.
         """
         result = await self._read_raw(topic, offset, wait)
         if isinstance(result, Failure):
-            return _without_first(result)
+            return _as_store_error(result)
         try:
             return Success(_decode_page(result.unwrap(), offset))
         except (struct.error, ValueError, IndexError):
             return Failure(StoreError.UNREADABLE)
 
     async def _read_raw(self, topic, offset, wait):
-        """Return a `Success` of a read's bytes, or a `Failure`."""
+        """Return a `Success` of a read's response body, or a `Failure`."""
         query = {
             "topic": topic,
             "part": "0",
@@ -264,10 +263,10 @@
 
     async def _call(self, method, path, query, timeout, body=None):
         """
-        Make a call.
+        Send a request to the store.
 
         Returns:
-          A `Success` of the answer's bytes, or a `Failure` of a `StoreError` or, for
+          A `Success` of the response body, or a `Failure` of a `StoreError` or, for
           records that were deleted, of a `Trimmed`.
         """
         limits = aiohttp.ClientTimeout(total=timeout, sock_connect=CONNECT_TIMEOUT)
@@ -284,13 +283,13 @@
             return Success(data)
         if resp.status == 410:
             return Failure(_decode_trimmed(data))
-        # Only these say that nothing was done; of another failure nobody knows.
+        # Only these statuses guarantee that the call had no effect.
         is_undone = resp.status in (429, 503, 507)
         return Failure(StoreError.BUSY if is_undone else StoreError.UNAVAILABLE)
 
 
 def make_session():
-    """Return a session whose connections notice that they have gone silent."""
+    """Return a session whose connections use TCP keep-alive."""
     connector = aiohttp.TCPConnector(
         limit=0, keepalive_timeout=8.0, socket_factory=_make_socket
     )
@@ -298,12 +297,12 @@
 
 
 def _make_socket(addr_info):
-    """Return a socket that notices a connection which has gone silent."""
+    """Return a socket with TCP keep-alive."""
     family, kind, proto, _, _ = addr_info
     sock = socket.socket(family, kind, proto)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_ALIVE_IDLE)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_ALIVE_EVERY)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_ALIVE_INTERVAL)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEP_ALIVE_COUNT)
     return sock
 
@@ -314,42 +313,42 @@
     return KeyedRecord(int(item["offset"]), item["key"], value or None)
 
 
-def _without_first(failed):
-    """Return the `Failure` of a read as a `StoreError` alone."""
+def _as_store_error(failed):
+    """Replace a `Trimmed` in the `Failure` of a read by a `StoreError`."""
     is_trimmed = isinstance(failed.failure(), Trimmed)
     return Failure(StoreError.TRIMMED) if is_trimmed else failed
 
 
 def _decode_trimmed(data):
-    """Decode the answer to a read of records that were deleted."""
+    """Decode the response to a read of deleted records."""
     try:
         return Trimmed(int(msgspec.json.decode(data)["first"]))
     except (msgspec.DecodeError, KeyError, TypeError, ValueError):
         return StoreError.UNREADABLE
 
 
-def _split(data, offset):
-    """Yield the offset and the bytes of each record of a read's answer."""
+def _split_records(data, offset):
+    """Yield the offset and the bytes of each record of a read's response."""
     PAGE_PREFIX.unpack_from(data)
-    at = PAGE_PREFIX.size
-    while at < len(data):
-        (length,) = RECORD_PREFIX.unpack_from(data, at)
-        at += RECORD_PREFIX.size
-        yield offset, data[at : at + length]
-        at += length
+    position = PAGE_PREFIX.size
+    while position < len(data):
+        (length,) = RECORD_PREFIX.unpack_from(data, position)
+        position += RECORD_PREFIX.size
+        yield offset, data[position : position + length]
+        position += length
         offset += 1
 
 
 def _decode_page(data, offset):
-    """Decode the keyed records of a read that began at an offset."""
-    records = [_decode_record(*row) for row in _split(data, offset)]
+    """Decode the keyed records of a read that started at `offset`."""
+    records = [_decode_record(*row) for row in _split_records(data, offset)]
     return Page(records, offset + len(records))
 
 
 def _decode_record(offset, data):
     """Decode one record: a byte of key length, the key, and the value."""
-    # Another writer's record may be empty, or its key no text. It must not make the
-    # whole page unreadable, for then nothing behind it would be read either.
+    # A malformed record, such as an empty one or one whose key isn't UTF-8, must not
+    # make the rest of the page unreadable.
     size = data[0] if data else 0
     key = data[1 : 1 + size].decode("utf-8", "backslashreplace")
     return KeyedRecord(offset, key, data[1 + size :] or None)
