--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/wire.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/wire.py
@@ -1,8 +1,8 @@
 """
-The names of the users' platform, decoded once into plumsaddle's own types.
+Header names of the platform, and decoders of its records into plumsaddle's types.
 
-Nothing here decides anything, and no other module knows these names. A field has a
-comment where the platform's name for it misleads.
+The platform's names are confined to this module. A field has a comment where the
+platform's name for it is misleading.
 """
 
 import re
@@ -24,20 +24,21 @@
 
 from ..utils.addresses import is_address
 
-# Headers of requests and answers.
+# Headers of requests and responses.
 REQUEST_ID = "Request-Id"
-# Milliseconds that the sender will wait, counted from when the request arrives; a
-# length of time, not a point in time.
+# The milliseconds that the sender waits from the arrival of the request: a duration,
+# not a point in time.
 TIME_LEFT = "Deadline-Ms"
-# The id of one start of a target, not of a machine.
+# The id of a target's incarnation, not of a machine.
 TARGET_ID = "Target-Instance"
-# The target's proof that the answer is its own.
+# The target's signature of its response.
 SIGNATURE = "Response-Signature"
 NOT_RUN = "Not-Executed"
 RETRY_AFTER = "Retry-After"
-# The requests a second that a target takes from all hosts together, in its answers.
+# A response header: the requests per second that a target accepts from all hosts
+# together.
 RATE_LIMIT = "Server-Limit"
-# The name of the workspace that a request belongs to, as targets are told it.
+# A header of requests to targets: the name of the request's workspace.
 WORKSPACE = "Tenant"
 
 # Topics and keys of the store.
@@ -50,18 +51,17 @@
     "unsafe": RequestKind.ORDER,
     "upload": RequestKind.UPLOAD,
 }
-# Figures beyond these are mistakes: a target with more slots is no one process, and
-# none warms up for a day. Later starts do not fit a timestamp.
-SLOTS_MOST = 100_000
-WARM_UP_MOST_MS = 86_400_000
-BORN_MOST = 2**53
-# Bytes of an unreadable rate limit that a log line shows.
-RATE_LIMIT_SHOWN = 40
+# Larger values in a target's entry are rejected as errors.
+MAX_SLOTS = 100_000
+MAX_WARMUP_MS = 86_400_000
+MAX_STARTED_AT_MS = 2**53
+# Bytes of a malformed rate limit that are logged.
+MAX_LOGGED_RATE_LIMIT = 40
 STATES = {"ready": TargetState.READY, "draining": TargetState.DRAINING}
 
 
 class _Entry(msgspec.Struct):
-    """What a target says of itself in the registry; no field may be missing."""
+    """A target's entry in the registry; only `born` may be missing."""
 
     service: str
     address: str
@@ -70,11 +70,11 @@
     version: str
     slots: int
     state: str
-    # How much longer the target stays slow after its start, from when it wrote this.
+    # The rest of the target's slow start, counted from when it wrote the entry.
     warmup_left_ms: int
-    # Counts a target's writes since its start, so it goes back when that starts again.
+    # Counts the target's writes since its start, so it is reset by a restart.
     sequence: int
-    # The Unix millisecond of the target's start; not every platform tells it.
+    # The target's start as a Unix time in milliseconds; some platforms lack it.
     born: int = 0
 
 
@@ -83,26 +83,25 @@
 
 def decode_target(target_id, data, now):
     """
-    Decode the registry's entry of a target.
+    Decode and validate the registry's entry of a target.
 
-    Anybody may have written it. A field of another type is not guessed at: work that
-    goes to a wrong address or past a target's slots is lost.
+    Entries come from untrusted writers. A field of the wrong type isn't converted:
+    requests sent to a wrong address or beyond a target's slots are lost.
 
     Args:
-      target_id: The key under which the entry stands.
+      target_id: The key of the entry.
       data: The entry's bytes.
-      now: The present, in seconds.
+      now: The current time, in seconds.
     Returns:
-      A `Success` of a `Target`, or a `Failure` of the reason why it names none that
-      can be used, as text.
+      A `Success` of a `Target`, or a `Failure` of the text of the first error.
     """
     try:
         entry = _decode_entry(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as exc:
         return Failure(str(exc))
-    mistake = _find_mistake(target_id, entry)
-    if mistake is not None:
-        return Failure(mistake)
+    error = _find_error(target_id, entry)
+    if error is not None:
+        return Failure(error)
     return Success(
         Target(
             target_id,
@@ -118,21 +117,21 @@
     )
 
 
-def _find_mistake(target_id, entry):
-    """Return what is wrong with an entry whose fields have the right types, or None."""
-    # The id goes into a header, so it must not hold what would end one.
+def _find_error(target_id, entry):
+    """Return the first error in an entry whose fields have the right types, or None."""
+    # The id is sent in a header, so it must not contain line breaks.
     if not (target_id.isascii() and target_id.isprintable()) or " " in target_id:
-        return "the id is no word"
+        return "the id is not a single word of printable ASCII"
     if entry.state not in STATES:
-        return f"the state {entry.state!r} is not known"
+        return f"unknown state {entry.state!r}"
     if not is_address(entry.address):
-        return f"{entry.address!r} is no IP:PORT"
-    if not 0 < entry.slots <= SLOTS_MOST:
-        return f"{entry.slots} slots"
-    if not 0 <= entry.warmup_left_ms <= WARM_UP_MOST_MS:
-        return f"{entry.warmup_left_ms} ms of warming up"
-    if not 0 <= entry.born <= BORN_MOST:
-        return f"born at {entry.born}"
+        return f"the address {entry.address!r} is not of the form IP:PORT"
+    if not 0 < entry.slots <= MAX_SLOTS:
+        return f"the number of slots, {entry.slots}, is out of range"
+    if not 0 <= entry.warmup_left_ms <= MAX_WARMUP_MS:
+        return f"the warm-up of {entry.warmup_left_ms} ms is out of range"
+    if not 0 <= entry.born <= MAX_STARTED_AT_MS:
+        return f"the start time {entry.born} is out of range"
     return None
 
 
@@ -142,34 +141,34 @@
 
 def decode_rate_limit(headers):
     """
-    Decode the rate limit that an answer names.
+    Decode the rate limit in the headers of a response.
 
-    Of several the lowest counts. What is no plain decimal number is not guessed at: a
-    mistake of the target's could shut it out, or lift its limit.
+    The lowest of several applies. Anything but a plain decimal number is ignored,
+    because a wrong guess could block the target or lift its limit.
 
     Args:
-      headers: Pairs of bytes as they came.
+      headers: Pairs of name and value, as bytes.
     Returns:
-      A `Success` of requests a second, or of None if the answer names none; a `Failure`
-      of the start of the text if there is only such that cannot be read.
+      A `Success` of requests per second, or of None without such a header; a
+      `Failure` of the start of the value if none can be decoded.
     """
     named = [value for name, value in headers if name.lower() == _RATE_LIMIT_NAME]
     if not named:
         return Success(None)
     rates = [float(text) for text in named if _decode_rate(text)]
     if not rates:
-        return Failure(named[0][:RATE_LIMIT_SHOWN].decode("latin-1"))
+        return Failure(named[0][:MAX_LOGGED_RATE_LIMIT].decode("latin-1"))
     return Success(min(rates))
 
 
 def decode_configuration(data):
     """
-    Decode a version of the operators' configuration.
+    Decode the operators' configuration.
 
     Args:
       data: The record's bytes.
     Returns:
-      A `Configuration`, or None if it cannot be read.
+      A `Configuration`, or None if it is malformed.
     """
     try:
         return _decode_configuration(msgspec.json.decode(data))
@@ -195,7 +194,7 @@
         if entry["entry_kind"] == "routes":
             routes.append(_decode_route(entry["metadata"]["name"], spec))
         elif entry["entry_kind"] == "services":
-            # The bound holds for one target and all its callers together.
+            # The limit of one target's connections, from all its callers together.
             connections[entry["metadata"]["name"]] = int(spec.get("max_conns", 0))
         elif entry["entry_kind"] == "limits":
             limits = _decode_limits(spec)
@@ -222,25 +221,27 @@
         spec["path_prefix"],
         KINDS[spec["route_type"]],
         shares,
-        # The number of targets, the first one included.
+        # Includes the first attempt.
         int(spec.get("max_attempts", 1)),
         int(spec["timeout_ms"]) / 1000,
-        # The time for a full-valued answer, not a measured latency.
+        # The objective for a response's latency, not a measured latency.
         int(spec["target_latency_ms"]) / 1000,
         int(spec.get("priority", 0)),
-        # Everybody may ask, with or without a key; the text has it as a true or false.
+        # Whether requests without a key are allowed; only a JSON `true` counts.
         spec.get("public", False) is True,
     )
 
 
 def _decode_workspace(name, spec):
     if not name.isascii() or not name.isprintable() or name != name.strip() or not name:
-        # It goes into a header, so it must not hold what would end one.
-        raise ValueError("the name of a workspace is no word")
-    # Of all hosts together, and not of one.
+        # The name is sent in a header, so it must not contain line breaks.
+        raise ValueError(
+            "the name of a workspace is empty, padded or not printable ASCII"
+        )
+    # The limits of all hosts together, not of each host.
     rate, burst = (float(spec.get(field) or 0.0) for field in ("rate_per_s", "burst"))
     if rate < 0 or burst < 0:
-        raise ValueError("a limit of a workspace is below zero")
+        raise ValueError("a limit of a workspace is negative")
     return Workspace(
         name,
         tuple(key_digest(key.encode()) for key in spec.get("api_keys", ())),
