--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/wire_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/wire_test.py
@@ -1,5 +1,5 @@
 """
-Tests of the decoders with what other writers may leave in the store.
+Tests of the decoders with malformed records in the store.
 """
 
 import json
@@ -14,7 +14,7 @@
 from .nodefile import check_host_settings
 from .store import _decode_page
 
-GOOD = {
+VALID_ENTRY = {
     "service": "look",
     "address": "10.0.0.1:8080",
     "zone": "x",
@@ -28,19 +28,19 @@
 
 
 def _decode(**changes):
-    fields = {key: v for key, v in {**GOOD, **changes}.items() if v is not ...}
+    fields = {key: v for key, v in {**VALID_ENTRY, **changes}.items() if v is not ...}
     return wire.decode_target("i-1", json.dumps(fields).encode(), 5.0)
 
 
-def test_a_good_entry_names_a_target():
+def test_a_valid_entry_is_decoded():
     target = _decode(state="draining", more={"a": 1}).unwrap()
-    assert (target.started_at, target.warmup) == (GOOD["born"], 0.5)
+    assert (target.started_at, target.warmup) == (VALID_ENTRY["born"], 0.5)
     assert target.state is TargetState.DRAINING
     assert _decode(born=...).unwrap().started_at == 0
 
 
-@pytest.mark.parametrize("name", [name for name in GOOD if name != "born"])
-def test_an_entry_without_a_field_names_none(name):
+@pytest.mark.parametrize("name", [name for name in VALID_ENTRY if name != "born"])
+def test_an_entry_without_a_field_is_rejected(name):
     assert isinstance(_decode(**{name: ...}), Failure)
 
 
@@ -74,20 +74,19 @@
         {"born": 10**20},
     ],
 )
-def test_an_entry_of_another_type_names_none(changes):
+def test_an_entry_with_an_invalid_field_is_rejected(changes):
     """
-    Work goes to an address that is none, or past a target's slots.
+    Guards against requests to invalid addresses or beyond a target's slots.
 
-    Somebody else has written the entry, with a number in a text, a figure that no
-    target has, or a state that nobody knows.
+    Fields of the wrong type, values out of range and unknown states are rejected.
     """
     result = _decode(**changes)
     assert isinstance(result, Failure)
     assert isinstance(result.failure(), str)
 
 
-def test_an_id_that_is_no_word_names_none():
-    data = json.dumps(GOOD).encode()
+def test_an_id_unfit_for_a_header_is_rejected():
+    data = json.dumps(VALID_ENTRY).encode()
     for target_id in ("", "i 1", "i-1\r\nX: y", "ï"):
         if target_id:
             assert isinstance(wire.decode_target(target_id, data, 0.0), Failure)
@@ -100,11 +99,11 @@
 )
 
 
-@given(st.dictionaries(st.sampled_from([*GOOD, "other"]), VALUES))
+@given(st.dictionaries(st.sampled_from([*VALID_ENTRY, "other"]), VALUES))
 @example({"service": "\ud800"})
 @settings(max_examples=200, deadline=None)
-def test_no_entry_raises(changes):
-    data = json.dumps({**GOOD, **changes}).encode()
+def test_decoding_an_entry_never_raises(changes):
+    data = json.dumps({**VALID_ENTRY, **changes}).encode()
     result = wire.decode_target("i-1", data, 0.0)
     assert isinstance(result, Success | Failure)
 
@@ -116,7 +115,7 @@
 @example(b'{"service":')
 @example(b"[" * 10_000)
 @settings(max_examples=300, deadline=None)
-def test_bytes_that_cannot_be_read_raise_nowhere(data):
+def test_malformed_bytes_never_raise(data):
     assert isinstance(wire.decode_target("i-1", data, 0.0), Failure)
     assert wire.decode_configuration(data) is None, len(data)
     text = data.decode("utf-8", "replace")
@@ -159,7 +158,7 @@
 )
 @example("version", "", float("inf"))
 @settings(max_examples=200, deadline=None)
-def test_no_configuration_raises(where, field, value):
+def test_decoding_a_configuration_never_raises(where, field, value):
     text = json.loads(json.dumps(CONFIGURATION))
     if isinstance(where, str):
         text[where] = value
@@ -171,21 +170,20 @@
     assert wire.decode_configuration(json.dumps(CONFIGURATION).encode()) is not None
 
 
-def _record(content):
+def _encode_record(content):
     return len(content).to_bytes(4, "big") + content
 
 
-def test_a_record_that_cannot_be_read_touches_no_other():
+def test_a_malformed_record_does_not_affect_others():
     """
-    A host learns of no target any more.
+    Guards against a page that stays unreadable because of one malformed record.
 
-    Another writer's record in the same topic is empty or has a key that is no text,
-    and the page with it could not be read, again and again.
+    Such a record is empty, has a key that isn't UTF-8, or is shorter than its key.
     """
-    good = json.dumps(GOOD).encode()
-    rows = [b"", b"\x02\xff\xfevalue", b"\x03i-1" + good, b"\xffshort"]
-    data = bytes(16) + b"".join(_record(row) for row in rows)
+    valid = json.dumps(VALID_ENTRY).encode()
+    rows = [b"", b"\x02\xff\xfevalue", b"\x03i-1" + valid, b"\xffshort"]
+    data = bytes(16) + b"".join(_encode_record(row) for row in rows)
     page = _decode_page(data, 10)
     assert page.next_offset == 14
     assert page.records[2].key == "i-1"
-    assert page.records[2].value == good
+    assert page.records[2].value == valid
