--- a/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
@@ -76,12 +76,12 @@
     """
     How strongly a target is suspected, in units of the threshold.
 
-    `own` is the score of this host's path to the target, and `observers` is the number
+    `path` is the score of this host's path to the target, and `observers` is the number
     of hosts whose signals count against the target.
     """
 
     total: float
-    own: float
+    path: float
     observers: int
 
 
