--- a/packages/plumsaddle-core/plumsaddle_core/ops/marks.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/marks.py
@@ -19,7 +19,7 @@
     """A draining target, and the remaining lifetime of the mark in seconds."""
 
     target: TargetKey
-    seconds: float
+    ttl: float
 
 
 class DrainMarks:
@@ -46,7 +46,7 @@
         """
         current = self.targets(now)
         for mark in marks:
-            self.add(mark.target, min(mark.seconds, SELF_REPORT_TTL), now)
+            self.add(mark.target, min(mark.ttl, SELF_REPORT_TTL), now)
         return any(mark.target not in current for mark in marks)
 
     def targets(self, now):
@@ -59,4 +59,4 @@
         marks = [
             Mark(key, at - now) for key, at in self._expires_at.items() if at > now
         ]
-        return sorted(marks, key=lambda mark: -mark.seconds)[:max_marks]
+        return sorted(marks, key=lambda mark: -mark.ttl)[:max_marks]
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/peers/messages.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/peers/messages.py
@@ -40,7 +40,7 @@
         for row in news.rows
     ]
     marks = [
-        pb.Mark(target=place(mark.target), seconds=mark.seconds) for mark in news.marks
+        pb.Mark(target=place(mark.target), seconds=mark.ttl) for mark in news.marks
     ]
     members = [pb.Member(**row._asdict()) for row in news.members]
     return pb.Digest(names=list(positions), members=members, rows=rows, marks=marks)
