--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
@@ -365,7 +365,7 @@
                 # Another feed has just reached the store, so retry at once.
                 delay = 0.0
             while True:
-                if not error.is_away:
+                if not error.is_unavailable:
                     log.warning(
                         "listing topic again",
                         extra={"topic": self._topic, "cause": error.value},
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/gate.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/gate.py
@@ -80,7 +80,7 @@
 
     async def begin_retry(self, topic, error):
         """Record a failed call and wait for the feed's turn to retry."""
-        is_away = error.is_away
+        is_away = error.is_unavailable
         if is_away:
             self._failing_feeds += 1
             if self._failing_feeds == 1:
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/store.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/store.py
@@ -53,7 +53,7 @@
         return self in (StoreError.BUSY, StoreError.UNREACHABLE)
 
     @property
-    def is_away(self):
+    def is_unavailable(self):
         """Whether the store was unavailable, rather than gave a definite response."""
         return self not in (StoreError.TRIMMED, StoreError.UNREADABLE)
 
