--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/admin.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/admin.py
@@ -101,7 +101,7 @@
 def _describe_tail(tail, fold):
     return {
         "stream": tail.stream,
-        "away": tail.is_away,
+        "away": tail.is_unavailable,
         "complete": fold.complete,
         "next_offset": fold.next_offset,
     }
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/shards.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/shards.py
@@ -77,7 +77,7 @@
 
     def is_away(self):
         """Return whether the log is known not to answer at the moment."""
-        return self.tail.is_away or self.batcher.is_away
+        return self.tail.is_unavailable or self.batcher.is_away
 
     async def win(self, claim, deadline):
         """
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/tail.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/tail.py
@@ -36,7 +36,7 @@
 
     def __init__(self, platform, stream, fold, feed, on_page, wait):
         self.stream = stream
-        self.is_away = False
+        self.is_unavailable = False
         self.is_caught_up = False
         self._platform = platform
         self._fold = fold
@@ -76,7 +76,7 @@
         self._on_page(has_gap)
 
     def _set_away(self, is_away):
-        if is_away != self.is_away:
+        if is_away != self.is_unavailable:
             state = "does not answer" if is_away else "answers again"
             log.warning("tail: The log %s for stream %s.", state, self.stream)
-        self.is_away = is_away
+        self.is_unavailable = is_away
