--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/admin.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/admin.py
@@ -77,7 +77,7 @@
         "in_flight": host.in_flight,
         "config_log": _describe_tail(host.config_tail, host.versions),
         "orders_log": [
-            {**_describe_tail(s.tail, s.fold), "appends_away": s.batcher.is_away}
+            {**_describe_tail(s.tail, s.fold), "appends_away": s.batcher.is_unavailable}
             for s in host.shards
         ],
         "appends": sum(shard.batcher.appends for shard in host.shards),
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/shards.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/shards.py
@@ -77,7 +77,7 @@
 
     def is_away(self):
         """Return whether the log is known not to answer at the moment."""
-        return self.tail.is_unavailable or self.batcher.is_away
+        return self.tail.is_unavailable or self.batcher.is_unavailable
 
     async def win(self, claim, deadline):
         """
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/batch.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/batch.py
@@ -54,7 +54,7 @@
         self.host = host
         self.appends = 0
         self.bytes = 0
-        self.is_away = False
+        self.is_unavailable = False
         self._append = append
         self._rng = rng
         self._queue = []
@@ -73,7 +73,7 @@
           A future of a `Success` of the offset or a `Failure` of `StoreError`.
         """
         fut = asyncio.get_running_loop().create_future()
-        if self.is_away:
+        if self.is_unavailable:
             fut.set_result(Failure(StoreError.BUSY))
         else:
             self._queue.append(Item(events, fut))
@@ -126,9 +126,9 @@
             _resolve(items, result)
             if isinstance(result, Failure):
                 await self._back_off(items)
-            elif self.is_away:
+            elif self.is_unavailable:
                 log.warning("batch: The log accepts appends to %s again.", self.stream)
-                self.is_away = False
+                self.is_unavailable = False
                 self._pause = self.MIN_PAUSE
 
     async def _back_off(self, items):
@@ -142,16 +142,16 @@
         to_retry = [item for item in items if item.fut is None]
         _resolve(self._queue, Failure(StoreError.BUSY))
         self._queue = to_retry + [item for item in self._queue if item.fut is None]
-        if not self.is_away:
+        if not self.is_unavailable:
             log.warning("batch: The log does not accept appends to %s.", self.stream)
-        self.is_away = True
+        self.is_unavailable = True
         pause = self._pause * self._rng.uniform(0.7, 1.3)
         self._pause = min(self.MAX_PAUSE, self._pause * 2)
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._wake.wait(), pause)
         if self._is_batch_confirmed:
             del self._queue[: len(to_retry)]
-        if self.is_away and not self._queue:
+        if self.is_unavailable and not self._queue:
             self._queue = [Item([], None)]
 
     def note_alive(self):
@@ -161,7 +161,7 @@
         The log accepts appends then, even if the response to one was lost, so orders
         need not be refused.
         """
-        self.is_away = False
+        self.is_unavailable = False
         self._pause = self.MIN_PAUSE
         self._wake.set()
 
@@ -180,7 +180,7 @@
 
     def _next_batch(self):
         """Return the next record's bytes and the number of items in it."""
-        events = [Ping(self.host, self._batch_number)] if self.is_away else []
+        events = [Ping(self.host, self._batch_number)] if self.is_unavailable else []
         size = 0
         count = 0
         for item in self._queue:
