--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
@@ -287,7 +287,7 @@
         self.listed_leaving = {
             f"{row.id}@{row.address}"
             for row in listed
-            if row.role == "target" and row.is_leaving
+            if row.role == "target" and row.is_draining
         }
         self._set_leaving(asyncio.get_running_loop().time())
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/store.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/store.py
@@ -85,7 +85,7 @@
     id: str
     address: str
     role: str
-    is_leaving: bool
+    is_draining: bool
 
 
 class KeyedRecord(NamedTuple):
@@ -198,8 +198,8 @@
                 decoded = wire.decode_target(record.key, record.value, 0.0)
                 if isinstance(decoded, Success):
                     target = decoded.unwrap()
-                    is_leaving = target.state is TargetState.DRAINING
-                    rows.append(Listed(target.id, target.address, role, is_leaving))
+                    is_draining = target.state is TargetState.DRAINING
+                    rows.append(Listed(target.id, target.address, role, is_draining))
         return Success(rows)
 
     async def list_newest(self, topic):
