--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/tail.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/tail.py
@@ -54,12 +54,12 @@
                 self.stream, self._fold.next_offset, wait
             )
             if not isinstance(result, Success):
-                self._set_away(True)
+                self._set_unavailable(True)
                 await asyncio.sleep(pause)
                 pause = min(self.MAX_PAUSE, pause * 2)
                 continue
             pause = self.MIN_PAUSE
-            self._set_away(False)
+            self._set_unavailable(False)
             self._apply_page(result.unwrap())
 
     def _apply_page(self, page):
@@ -75,8 +75,8 @@
         self.is_caught_up = self._fold.next_offset >= page.next
         self._on_page(has_gap)
 
-    def _set_away(self, is_away):
-        if is_away != self.is_unavailable:
-            state = "does not answer" if is_away else "answers again"
+    def _set_unavailable(self, is_unavailable):
+        if is_unavailable != self.is_unavailable:
+            state = "does not answer" if is_unavailable else "answers again"
             log.warning("tail: The log %s for stream %s.", state, self.stream)
-        self.is_unavailable = is_away
+        self.is_unavailable = is_unavailable
