--- a/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/ejection.py
@@ -84,7 +84,7 @@
     If the path from this host to a target is broken, other hosts still reach it and it
     is not ejected, but this host prefers its other targets.
     """
-    member.is_avoided = score.path >= SUSPECT_SCORE
+    member.is_avoided = score.own >= SUSPECT_SCORE
 
 
 def _eject_worst(pool, evidence, now, rng):
@@ -109,8 +109,7 @@
         if count_warm(pool) - is_warm < effective_floor(pool):
             break
         reason = (
-            f"score {score.total:.1f}, own {score.path:.1f}, "
-            f"{score.observers} observers"
+            f"score {score.total:.1f}, own {score.own:.1f}, {score.observers} observers"
         )
         changes.append(_eject(pool.members[key], now, rng, reason))
         evidence.clear(key)
@@ -286,5 +285,5 @@
             judged += 1
             score = evidence.score(key, now)
             is_contradicted = view.last_remote_good_at >= view.last_bad_at - 2.0
-            blamed += score.path >= SUSPECT_SCORE and is_contradicted
+            blamed += score.own >= SUSPECT_SCORE and is_contradicted
     return judged >= MIN_TARGETS_JUDGED and blamed > LOCAL_FAULT_SHARE * judged
--- a/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/evidence.py
@@ -76,12 +76,12 @@
     """
     How strongly a target is suspected, in units of the threshold.
 
-    `path` is the score of this host's path to the target, and `observers` is the number
+    `own` is the score of this host's path to the target, and `observers` is the number
     of hosts whose signals count against the target.
     """
 
     total: float
-    path: float
+    own: float
     observers: int
 
 
