--- a/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
+++ b/packages/plumsaddle-core/plumsaddle_core/core/traffic.py
@@ -11,6 +11,7 @@
 import functools
 from typing import Any, NamedTuple
 
+from .features import Feature
 from .ids import (
     Address,
     DataCentre,
@@ -21,7 +22,6 @@
     TargetIncarnation,
     WorkspaceName,
 )
-from .parts import Feature
 
 
 class RequestKind(enum.Enum):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -11,7 +11,7 @@
 
 from returns.result import Failure
 
-from plumsaddle_core.core.parts import Feature
+from plumsaddle_core.core.features import Feature
 from plumsaddle_core.core.traffic import SendOutcome, TargetState
 from plumsaddle_core.limits.membership import Membership
 from plumsaddle_core.limits.meter import Tolerance
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from plumsaddle_core.core.parts import Feature
+from plumsaddle_core.core.features import Feature
 from plumsaddle_core.core.traffic import (
     Bounds,
     HostSettings,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/others.py
@@ -2,7 +2,7 @@
 Updates that a hub sends to other data centres.
 """
 
-from plumsaddle_core.core.parts import Feature
+from plumsaddle_core.core.features import Feature
 
 from .messages import DataCentreLoad, DataCentreUpdate, encode
 from .strangers import RemoteHosts
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from plumsaddle_core.core.parts import Feature
+from plumsaddle_core.core.features import Feature
 from plumsaddle_core.limits.advertised import MAX_ROWS
 from plumsaddle_core.ops.neighbours import PeerTable
 from plumsaddle_core.ops.pacing import SendPacer
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -13,7 +13,7 @@
 import logging
 from typing import Any, NamedTuple
 
-from plumsaddle_core.core.parts import Feature
+from plumsaddle_core.core.features import Feature
 from plumsaddle_core.core.traffic import Reply, SendOutcome
 from plumsaddle_core.limits.targets import max_token_wait
 from plumsaddle_core.ops.attempt import NOT_SENT, Attempt
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/suspicion.py
@@ -4,7 +4,7 @@
 
 import functools
 
-from plumsaddle_core.core.parts import Feature
+from plumsaddle_core.core.features import Feature
 from plumsaddle_core.core.traffic import SendOutcome
 from plumsaddle_core.ops.attempt import Stage
 from plumsaddle_core.ops.suspects import MAX_CRASHES_TO_RETRY, RunRecord
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/platform/nodefile.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/platform/nodefile.py
@@ -9,7 +9,7 @@
 
 from returns.result import Failure, Success
 
-from plumsaddle_core.core.parts import Feature
+from plumsaddle_core.core.features import Feature
 from plumsaddle_core.core.traffic import Bounds, HostSettings
 
 from ..utils.addresses import is_address
--- a/packages/plumsaddle-standins/plumsaddle_standins/crashes.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/crashes.py
@@ -26,7 +26,7 @@
 import aiohttp
 import fire
 
-from plumsaddle_core.core.parts import Feature
+from plumsaddle_core.core.features import Feature
 from plumsaddle_core.ops.fingerprint import request_key
 
 from .store import Fault
--- a/packages/plumsaddle-standins/plumsaddle_standins/crashes_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/crashes_test.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from plumsaddle_core.core.parts import Feature
+from plumsaddle_core.core.features import Feature
 
 from .crashes import RETRIES_MOST, play
 
