--- a/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/limits/quotas_test.py
@@ -7,7 +7,7 @@
 import pytest
 
 from ..core.traffic import Workspace
-from ..ops.zone import SharedState
+from ..ops.shared_state import SharedState
 from .liveness import EVICTION_TIMEOUT, HostCount
 from .meter import DecayingSum, Tolerance
 from .quotas import IDLE_TIMEOUT, Quotas
--- a/packages/plumsaddle-core/plumsaddle_core/ops/floor_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/floor_test.py
@@ -10,7 +10,7 @@
     Trials,
     find_trial,
 )
-from .zone import SharedState
+from .shared_state import SharedState
 
 USED = {"a": 10.0, "b": 9.9, "c": 5.0, "d": 6.0}
 EQUALLY_HEALTHY = {"a": 0.1, "b": 0.1, "c": 0.1, "d": 0.1}
--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -15,7 +15,7 @@
     target_tag,
 )
 from .registry import Registry
-from .zone import SharedState
+from .shared_state import SharedState
 
 
 def _target(started_at, state=TargetState.READY, service="look"):
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -27,6 +27,7 @@
 from plumsaddle_core.ops.news import DEFERRABLE_SIGNALS, HealthSignal
 from plumsaddle_core.ops.registry import Registry
 from plumsaddle_core.ops.route_table import build_route_table
+from plumsaddle_core.ops.shared_state import SharedState
 from plumsaddle_core.ops.subset import (
     MAX_TARGETS_WITHOUT_SUBSET,
     MIN_SUBSET_SCORE,
@@ -41,7 +42,6 @@
     usable_retry_fraction,
 )
 from plumsaddle_core.ops.workspaces import index_keys, short_digest
-from plumsaddle_core.ops.zone import SharedState
 
 from ..platform import wire
 from .clock import now
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -17,8 +17,8 @@
     READER_COUNT,
 )
 from plumsaddle_core.ops.news import HealthSignal, target_tag
+from plumsaddle_core.ops.shared_state import SharedState
 from plumsaddle_core.ops.suspects import RunRecord
-from plumsaddle_core.ops.zone import SharedState
 
 from ..platform.store import KeyedRecord, Page
 from . import peers as module
--- a/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
@@ -23,8 +23,8 @@
 
 from plumsaddle_core.core.traffic import Bounds, HostSettings
 from plumsaddle_core.ops.news import HealthSignal
+from plumsaddle_core.ops.shared_state import SharedState
 from plumsaddle_core.ops.suspects import RunRecord
-from plumsaddle_core.ops.zone import SharedState
 from plumsaddle_hosts.edge import peers as module
 from plumsaddle_hosts.edge.gate import StoreAccess
 from plumsaddle_hosts.edge.peers import PeerProtocol
