--- a/packages/plumsaddle-core/plumsaddle_core/ops/elsewhere.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/elsewhere.py
@@ -7,7 +7,7 @@
 
 from collections import Counter
 
-from .news import RemoteLoadTotal
+from .peer_updates import RemoteLoadTotal
 
 # Seconds without an update after which a load is discarded.
 REMOTE_LOAD_TTL = 1.5
--- a/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/life_test.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings, strategies as st
 
 from ..core.traffic import Target, TargetState
-from .news import (
+from .peer_updates import (
     Counts,
     Evidence,
     HealthSignal,
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -32,7 +32,7 @@
 )
 from .elsewhere import RemoteLoads
 from .floor import RecentResults
-from .news import (
+from .peer_updates import (
     Counts,
     Evidence,
     HealthSignal,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/bundles_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/bundles_test.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from plumsaddle_core.ops.news import RemoteLoadTotal
+from plumsaddle_core.ops.peer_updates import RemoteLoadTotal
 
 from .bundles import CLIENT_TTL, MAX_UPDATES_PER_HOST, BundleBuffer
 from .messages import HostUpdate, decode, decompress_bundle, encode
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge.py
@@ -24,7 +24,7 @@
     choose_target,
 )
 from plumsaddle_core.ops.floor import Trials
-from plumsaddle_core.ops.news import DEFERRABLE_SIGNALS, HealthSignal
+from plumsaddle_core.ops.peer_updates import DEFERRABLE_SIGNALS, HealthSignal
 from plumsaddle_core.ops.registry import Registry
 from plumsaddle_core.ops.route_table import build_route_table
 from plumsaddle_core.ops.shared_state import SharedState
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
@@ -15,7 +15,7 @@
     TargetState,
 )
 from plumsaddle_core.ops.choice import ChoiceRule, RequestProfile
-from plumsaddle_core.ops.news import HealthSignal
+from plumsaddle_core.ops.peer_updates import HealthSignal
 
 from .clock import now
 from .knowledge import HostState
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -16,7 +16,7 @@
     HUB_TIMEOUT,
     READER_COUNT,
 )
-from plumsaddle_core.ops.news import HealthSignal, target_tag
+from plumsaddle_core.ops.peer_updates import HealthSignal, target_tag
 from plumsaddle_core.ops.shared_state import SharedState
 from plumsaddle_core.ops.suspects import RunRecord
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/taking.py
@@ -14,7 +14,7 @@
 from plumsaddle_core.core.traffic import target_id_of
 from plumsaddle_core.limits.advertised import LimitRow
 from plumsaddle_core.limits.liveness import HostCount
-from plumsaddle_core.ops.news import DEFERRABLE_SIGNALS
+from plumsaddle_core.ops.peer_updates import DEFERRABLE_SIGNALS
 from plumsaddle_core.ops.suspects import RunRecord
 
 from ..utils.addresses import is_address
--- a/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/floor_model.py
@@ -31,7 +31,7 @@
 from plumsaddle_core.core.traffic import RequestKind, Target, TargetState
 from plumsaddle_core.ops.choice import Candidate, RequestProfile, choose_target
 from plumsaddle_core.ops.floor import Trials
-from plumsaddle_core.ops.news import HealthSignal, RemoteLoad, RemoteUpdate
+from plumsaddle_core.ops.peer_updates import HealthSignal, RemoteLoad, RemoteUpdate
 from plumsaddle_core.ops.shared_state import SharedState
 
 SERVICE = ServiceName("orders")
--- a/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
@@ -22,7 +22,7 @@
 from typing import NamedTuple
 
 from plumsaddle_core.core.traffic import Bounds, HostSettings
-from plumsaddle_core.ops.news import HealthSignal
+from plumsaddle_core.ops.peer_updates import HealthSignal
 from plumsaddle_core.ops.shared_state import SharedState
 from plumsaddle_core.ops.suspects import RunRecord
 from plumsaddle_hosts.edge import peers as module
