--- a/packages/plumsaddle-core/plumsaddle_core/ops/neighbours_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/peer_table_test.py
@@ -2,7 +2,7 @@
 Tests of choosing the hub and the readers.
 """
 
-from .neighbours import (
+from .peer_table import (
     HUB_RETRY_DELAY,
     HUB_TIMEOUT,
     READER_COUNT,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
@@ -9,7 +9,7 @@
 import pytest
 from returns.result import Failure, Success
 
-from plumsaddle_core.ops.neighbours import StoreStatus
+from plumsaddle_core.ops.peer_table import StoreStatus
 
 from ..platform.store import KeyedRecord, Page, StoreError
 from . import feed
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/gate.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/gate.py
@@ -6,7 +6,7 @@
 import logging
 import math
 
-from plumsaddle_core.ops.neighbours import StoreStatus
+from plumsaddle_core.ops.peer_table import StoreStatus
 
 from .clock import now
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/messages.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from plumsaddle_core.ops.neighbours import StoreStatus
+from plumsaddle_core.ops.peer_table import StoreStatus
 from plumsaddle_core.ops.peer_updates import (
     Counts,
     Evidence,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -23,8 +23,8 @@
 
 from plumsaddle_core.core.features import Feature
 from plumsaddle_core.limits.advertised import MAX_ROWS
-from plumsaddle_core.ops.neighbours import PeerTable
 from plumsaddle_core.ops.pacing import SendPacer
+from plumsaddle_core.ops.peer_table import PeerTable
 
 from ..utils.addresses import split_address
 from .bundles import BundleBuffer
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -10,7 +10,7 @@
 
 from plumsaddle_core.core.traffic import Bounds, HostSettings
 from plumsaddle_core.ops.elsewhere import REMOTE_LOAD_TTL
-from plumsaddle_core.ops.neighbours import (
+from plumsaddle_core.ops.peer_table import (
     ECHO_TIMEOUT,
     HUB_RETRY_DELAY,
     HUB_TIMEOUT,
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/readers.py
@@ -5,7 +5,7 @@
 import logging
 import math
 
-from plumsaddle_core.ops.neighbours import StoreStatus
+from plumsaddle_core.ops.peer_table import StoreStatus
 
 from .clock import now
 from .messages import Records, decode_records, encode, encode_records
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/strangers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/strangers.py
@@ -5,7 +5,7 @@
 keeps its own selection, so the loss of one host doesn't disconnect two data centres.
 """
 
-from plumsaddle_core.ops.neighbours import PEER_TTL
+from plumsaddle_core.ops.peer_table import PEER_TTL
 
 from ..utils.addresses import is_address
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_rate_limit_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_rate_limit_test.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from plumsaddle_core.ops.neighbours import hub_order
+from plumsaddle_core.ops.peer_table import hub_order
 from plumsaddle_hosts.edge.clock import now
 
 from .trial import Trial, free_port, in_loop, until
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
@@ -10,7 +10,7 @@
 from returns.result import Failure
 
 from plumsaddle_core.core.traffic import TargetState
-from plumsaddle_core.ops.neighbours import StoreStatus
+from plumsaddle_core.ops.peer_table import StoreStatus
 from plumsaddle_hosts.edge.clock import now
 from plumsaddle_hosts.edge.feed import FIRST_LISTING_TTL, MAX_READ_WAIT
 from plumsaddle_hosts.edge.gate import READER_STATUS_TTL
