--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -30,7 +30,6 @@
     FailureEstimator,
     rare_outcome_likelihood_ratio,
 )
-from .elsewhere import RemoteLoads
 from .floor import RecentResults
 from .peer_updates import (
     Counts,
@@ -41,6 +40,7 @@
     OutcomeRecord,
     target_tag,
 )
+from .remote_load import RemoteLoads
 from .share import DataCentreRetryBudget
 from .suspects import SuspectRequests
 from .times import RouteTimes
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -9,7 +9,6 @@
 from hypothesis import example, given, settings, strategies as st
 
 from plumsaddle_core.core.traffic import Bounds, HostSettings
-from plumsaddle_core.ops.elsewhere import REMOTE_LOAD_TTL
 from plumsaddle_core.ops.peer_table import (
     ECHO_TIMEOUT,
     HUB_RETRY_DELAY,
@@ -17,6 +16,7 @@
     READER_COUNT,
 )
 from plumsaddle_core.ops.peer_updates import HealthSignal, target_tag
+from plumsaddle_core.ops.remote_load import REMOTE_LOAD_TTL
 from plumsaddle_core.ops.shared_state import SharedState
 from plumsaddle_core.ops.suspects import RunRecord
 
