--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -20,7 +20,7 @@
 from ..limits.membership import Membership
 from ..limits.quotas import Quotas
 from ..limits.targets import TargetLimits
-from .belief import (
+from .failure_estimator import (
     FAILURE_LIKELIHOOD_RATIO,
     MAX_SILENCE_LIKELIHOOD_RATIO,
     PATH_MODEL,
