--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -41,9 +41,9 @@
     target_tag,
 )
 from .remote_load import RemoteLoads
+from .route_times import RouteTimes
 from .share import DataCentreRetryBudget
 from .suspects import SuspectRequests
-from .times import RouteTimes
 
 # Seconds without a message after which a host is evicted: three missed heartbeats.
 PEER_TIMEOUT = 3.5
