--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state.py
@@ -20,6 +20,7 @@
 from ..limits.membership import Membership
 from ..limits.quotas import Quotas
 from ..limits.targets import TargetLimits
+from .data_centre_retry_budget import DataCentreRetryBudget
 from .failure_estimator import (
     FAILURE_LIKELIHOOD_RATIO,
     MAX_SILENCE_LIKELIHOOD_RATIO,
@@ -42,7 +43,6 @@
 )
 from .remote_load import RemoteLoads
 from .route_times import RouteTimes
-from .share import DataCentreRetryBudget
 from .suspects import SuspectRequests
 
 # Seconds without a message after which a host is evicted: three missed heartbeats.
--- a/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/shared_state_test.py
@@ -6,9 +6,9 @@
 
 from ..core.traffic import RequestKind, Target, TargetState
 from .choice import Candidate, RequestProfile, choose_target
+from .data_centre_retry_budget import SAFETY_FACTOR, DataCentreRetryBudget
 from .peer_updates import Counts, HealthSignal, OutcomeRecord, PeerUpdate, target_tag
 from .route_times import DEFAULT_DURATION
-from .share import SAFETY_FACTOR, DataCentreRetryBudget
 from .shared_state import PEER_TIMEOUT, SharedState
 
 
--- a/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/urgency_test.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ..core.traffic import RequestKind, Route, Share, Workspace
-from .share import DataCentreRetryBudget
+from .data_centre_retry_budget import DataCentreRetryBudget
 from .urgency import (
     RequestPriority,
     max_wait_fraction,
