--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -14,13 +14,13 @@
     HealthState,
     RequestKind,
 )
-from plumsaddle_core.ops.budget import HostRetryBudget
 from plumsaddle_core.ops.ejection import (
     note_trial_result,
     suspects_itself,
     update_health,
 )
 from plumsaddle_core.ops.evidence import Evidence
+from plumsaddle_core.ops.host_retry_budget import HostRetryBudget
 from plumsaddle_core.ops.latency import Latency
 from plumsaddle_core.ops.pool import CONTENTION_WINDOW, Pool
 from plumsaddle_core.ops.signs import signal_of_age, signal_of_result
