--- a/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/back/services.py
@@ -10,10 +10,10 @@
 from plumsaddle_core.core.data import FailureKind, HealthSignal, RequestKind
 from plumsaddle_core.ops.ejection import note_trial_result
 from plumsaddle_core.ops.evidence import Evidence
+from plumsaddle_core.ops.health_signals import signal_of_age, signal_of_result
 from plumsaddle_core.ops.host_retry_budget import HostRetryBudget
 from plumsaddle_core.ops.latency import Latency
 from plumsaddle_core.ops.pool import Pool
-from plumsaddle_core.ops.signs import signal_of_age, signal_of_result
 
 from .waiting import WaitingRoom
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/probes_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/probes_test.py
@@ -3,7 +3,7 @@
 import random
 
 from plumsaddle_core.core.data import HealthSignal, RequestKind, Service, Target
-from plumsaddle_core.ops.signs import signal_of_result
+from plumsaddle_core.ops.health_signals import signal_of_result
 
 from ..back.services import ServiceState
 from .probes import reference_kind
--- a/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model_hosts.py
@@ -20,10 +20,10 @@
     update_health,
 )
 from plumsaddle_core.ops.evidence import Evidence
+from plumsaddle_core.ops.health_signals import signal_of_age, signal_of_result
 from plumsaddle_core.ops.host_retry_budget import HostRetryBudget
 from plumsaddle_core.ops.latency import Latency
 from plumsaddle_core.ops.pool import CONTENTION_WINDOW, Pool
-from plumsaddle_core.ops.signs import signal_of_age, signal_of_result
 
 KIND = RequestKind.IDEMPOTENT
 TRIES_MOST = 3
