--- a/packages/plumsaddle-core/plumsaddle_core/ops/keeper_test.py
+++ b/packages/plumsaddle-core/plumsaddle_core/ops/slot_allocator_test.py
@@ -1,6 +1,6 @@
 """Tests of the allocation of a service's slots."""
 
-from .keeper import GRANT_TTL, SHED_COOLDOWN, SlotAllocator, choose_allocator
+from .slot_allocator import GRANT_TTL, SHED_COOLDOWN, SlotAllocator, choose_allocator
 
 TARGETS = ["a", "b"]
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/peers/keeping.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/peers/keeping.py
@@ -15,7 +15,7 @@
 
 from grpclib.exceptions import GRPCError, StreamTerminatedError
 
-from plumsaddle_core.ops.keeper import SlotAllocator, choose_allocator
+from plumsaddle_core.ops.slot_allocator import SlotAllocator, choose_allocator
 
 from . import exchange_pb2 as pb
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/fleet_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/fleet_test.py
@@ -19,7 +19,7 @@
 
 import pytest
 
-from plumsaddle_core.ops.keeper import choose_allocator
+from plumsaddle_core.ops.slot_allocator import choose_allocator
 
 from .demo import make_key
 from .fleet import TRIAL, Fleet, call, wait_for
--- a/packages/plumsaddle-standins/plumsaddle_standins/model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/model.py
@@ -12,8 +12,8 @@
 from typing import NamedTuple
 
 from plumsaddle_core.core.data import DetectionTradeoff, FailureKind, Service, Target
-from plumsaddle_core.ops.keeper import SlotAllocator
 from plumsaddle_core.ops.pool import SHED_PAUSE
+from plumsaddle_core.ops.slot_allocator import SlotAllocator
 
 from .model_hosts import TRIES_MOST
 
