--- a/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/daemon/host.py
@@ -16,8 +16,8 @@
 from returns.result import Failure, Success
 
 from plumsaddle_core.core.ids import Incarnation
+from plumsaddle_core.ops.drain_marks import LISTED_TTL, SELF_REPORT_TTL, DrainMarks
 from plumsaddle_core.ops.ejection import set_draining, suspects_itself, update_health
-from plumsaddle_core.ops.marks import LISTED_TTL, SELF_REPORT_TTL, DrainMarks
 from plumsaddle_core.ops.members import Member, Members
 from plumsaddle_core.ops.routing import build_routes
 from plumsaddle_core.ops.versions import new_version_fold
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/peers/messages.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/peers/messages.py
@@ -7,8 +7,8 @@
 
 from typing import NamedTuple
 
+from plumsaddle_core.ops.drain_marks import Mark
 from plumsaddle_core.ops.evidence import Row
-from plumsaddle_core.ops.marks import Mark
 from plumsaddle_core.ops.members import Member
 
 from . import exchange_pb2 as pb
