--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
@@ -10,7 +10,7 @@
 from plumsaddle_core.ops.suspects import RunRecord
 
 from .endings import MAX_UNRESOLVED, UNRESOLVED_TTL, CrashDetector
-from .knowledge import HostState
+from .host_state import HostState
 from .link import ConnectFailure
 from .metrics import EdgeMetrics
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/knowledge_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/host_state_test.py
@@ -18,7 +18,7 @@
 from plumsaddle_core.ops.peer_updates import HealthSignal
 
 from .clock import now
-from .knowledge import HostState
+from .host_state import HostState
 
 PROFILE = RequestProfile(RequestKind.ORDER, 0.2, 0.6, 1.5, 1.0)
 
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -34,7 +34,7 @@
 from .feed import RARE_CHANGES, Feed
 from .front import Front
 from .gate import StoreAccess
-from .knowledge import HostState
+from .host_state import HostState
 from .links import ConnectionPool
 from .metrics import EdgeMetrics
 from .peers import PeerProtocol
