--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings.py
@@ -17,7 +17,7 @@
 from plumsaddle_core.ops.suspects import RunRecord
 
 from .clock import now
-from .link import ConnectFailure
+from .target_connection import ConnectFailure
 
 log = logging.getLogger("endings")
 # Seconds after an unanswered send for which a crash of its target is attributed to it.
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
@@ -11,8 +11,8 @@
 
 from .endings import MAX_UNRESOLVED, UNRESOLVED_TTL, CrashDetector
 from .host_state import HostState
-from .link import ConnectFailure
 from .metrics import EdgeMetrics
+from .target_connection import ConnectFailure
 
 SETTINGS = HostSettings("h", "x", ("x",), "", "", "", (), "", Bounds())
 ALIVE = "a connection"
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/links.py
@@ -7,7 +7,7 @@
 """
 
 from .clock import now
-from .link import TargetConnection, connect
+from .target_connection import TargetConnection, connect
 
 # More idle connections would use up the target's own connection limit for nothing, as a
 # host has only a few requests in flight at one target.
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/sender.py
@@ -11,8 +11,8 @@
 from plumsaddle_core.core.traffic import Reply, SendOutcome
 
 from .clock import now
-from .link import ConnectFailure
 from .outgoing import frame_body, make_head
+from .target_connection import ConnectFailure
 from .verdict import ReplyRest, classify, classify_head
 
 log = logging.getLogger("relay")
