--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -29,13 +29,13 @@
 from ..utils.addresses import split_address
 from .callers import FrontServer
 from .clock import now
+from .connection_pool import ConnectionPool
 from .endings import CrashDetector
 from .events import configure_logging
 from .feed import RARE_CHANGES, Feed
 from .front import Front
 from .gate import StoreAccess
 from .host_state import HostState
-from .links import ConnectionPool
 from .metrics import EdgeMetrics
 from .peers import PeerProtocol
 from .relay import Relay
