--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/endings_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/crash_detector_test.py
@@ -9,7 +9,7 @@
 from plumsaddle_core.core.traffic import Bounds, HostSettings, Target, TargetState
 from plumsaddle_core.ops.suspects import RunRecord
 
-from .endings import MAX_UNRESOLVED, UNRESOLVED_TTL, CrashDetector
+from .crash_detector import MAX_UNRESOLVED, UNRESOLVED_TTL, CrashDetector
 from .host_state import HostState
 from .metrics import EdgeMetrics
 from .target_connection import ConnectFailure
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -30,7 +30,7 @@
 from .callers import FrontServer
 from .clock import now
 from .connection_pool import ConnectionPool
-from .endings import CrashDetector
+from .crash_detector import CrashDetector
 from .events import configure_logging
 from .feed import RARE_CHANGES, Feed
 from .front import Front
