--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed.py
@@ -20,7 +20,7 @@
 
 from ..platform.store import Page, StoreError
 from .clock import now
-from .gate import READER_STATUS_TTL
+from .store_access import READER_STATUS_TTL
 
 log = logging.getLogger("store")
 # Bounds, in seconds, of the random time that a read waits for changes. Readers report
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/feed_test.py
@@ -15,7 +15,7 @@
 from . import feed
 from .clock import now as clock
 from .feed import Feed
-from .gate import StoreAccess
+from .store_access import StoreAccess
 
 
 @pytest.fixture(autouse=True)
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/main.py
@@ -34,12 +34,12 @@
 from .events import configure_logging
 from .feed import RARE_CHANGES, Feed
 from .front import Front
-from .gate import StoreAccess
 from .host_state import HostState
 from .metrics import EdgeMetrics
 from .peers import PeerProtocol
 from .relay import Relay
 from .sender import Sender
+from .store_access import StoreAccess
 from .stored import TOPIC as SUSPECTS_TOPIC, StoredSuspects
 
 log = logging.getLogger("host")
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -23,10 +23,10 @@
 from ..platform.store import KeyedRecord, Page
 from . import peers as module
 from .bundles import CLIENT_TTL
-from .gate import StoreAccess
 from .messages import Bundle, HostUpdate, Records, decode, decode_records
 from .others import REMOTE_HUB_TTL
 from .peers import DISCOVERY_PERIOD, HUB_SEND_INTERVAL, PeerProtocol
+from .store_access import StoreAccess
 
 DATA_CENTRES = ("x", "y")
 encode = msgspec.msgpack.encode
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/stored_test.py
@@ -12,7 +12,7 @@
 
 from ..platform.store import KeyedRecord, Page, StoreError
 from .clock import now
-from .gate import StoreAccess
+from .store_access import StoreAccess
 from .stored import TOPIC, StoredSuspects, SuspectRecord
 
 
--- a/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/edge_readers_test.py
@@ -13,8 +13,8 @@
 from plumsaddle_core.ops.peer_table import StoreStatus
 from plumsaddle_hosts.edge.clock import now
 from plumsaddle_hosts.edge.feed import FIRST_LISTING_TTL, MAX_READ_WAIT
-from plumsaddle_hosts.edge.gate import READER_STATUS_TTL
 from plumsaddle_hosts.edge.peers import DISCOVERY_PERIOD, HUB_SEND_INTERVAL
+from plumsaddle_hosts.edge.store_access import READER_STATUS_TTL
 from plumsaddle_hosts.platform.store import StoreError
 
 from .store import Fault
--- a/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
+++ b/packages/plumsaddle-standins/plumsaddle_standins/telling_model.py
@@ -26,8 +26,8 @@
 from plumsaddle_core.ops.shared_state import SharedState
 from plumsaddle_core.ops.suspects import RunRecord
 from plumsaddle_hosts.edge import peers as module
-from plumsaddle_hosts.edge.gate import StoreAccess
 from plumsaddle_hosts.edge.peers import PeerProtocol
+from plumsaddle_hosts.edge.store_access import StoreAccess
 
 SIZES = (12, 45, 60, 100)
 CENTRES = ("x",)
