--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -37,8 +37,8 @@
     decode,
     encode,
 )
-from .others import RemoteSender
 from .readers import ReaderRole
+from .remote_sender import RemoteSender
 from .taking import Callbacks, MessageHandler
 
 log = logging.getLogger("peers")
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers_test.py
@@ -24,8 +24,8 @@
 from . import peers as module
 from .bundles import CLIENT_TTL
 from .messages import Bundle, HostUpdate, Records, decode, decode_records
-from .others import REMOTE_HUB_TTL
 from .peers import DISCOVERY_PERIOD, HUB_SEND_INTERVAL, PeerProtocol
+from .remote_sender import REMOTE_HUB_TTL
 from .store_access import StoreAccess
 
 DATA_CENTRES = ("x", "y")
