--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/peers.py
@@ -29,6 +29,7 @@
 from ..utils.addresses import split_address
 from .bundles import BundleBuffer
 from .clock import now
+from .message_handler import Callbacks, MessageHandler
 from .messages import (
     Bundle,
     Heartbeat,
@@ -39,7 +40,6 @@
 )
 from .readers import ReaderRole
 from .remote_sender import RemoteSender
-from .taking import Callbacks, MessageHandler
 
 log = logging.getLogger("peers")
 # Addresses that a hub's heartbeat lists, drawn at random each time.
