--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/relay.py
@@ -22,7 +22,7 @@
 from .clock import now
 from .refusals import Refusal, RefusalCause
 from .sender import SendResult
-from .suspicion import SuspectCheck
+from .suspect_check import SuspectCheck
 
 log = logging.getLogger("relay")
 # The multiple of its expected duration, including queueing at the target, after which
