--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/message_handler.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/message_handler.py
@@ -35,7 +35,7 @@
     to_remote_load_total,
     to_remote_update,
 )
-from .strangers import HOSTS_PER_MESSAGE
+from .remote_hosts import HOSTS_PER_MESSAGE
 
 log = logging.getLogger("peers")
 # Addresses in an answer to `Hello`. The receiver learns the others from the hub.
--- a/packages/plumsaddle-hosts/plumsaddle_hosts/edge/remote_sender.py
+++ b/packages/plumsaddle-hosts/plumsaddle_hosts/edge/remote_sender.py
@@ -5,7 +5,7 @@
 from plumsaddle_core.core.features import Feature
 
 from .messages import DataCentreLoad, DataCentreUpdate, encode
-from .strangers import RemoteHosts
+from .remote_hosts import RemoteHosts
 
 # The host of another data centre that sent last is taken for its hub for this long
 # (seconds). Hubs send ten times a second.
